--- a/tests/budgets/fleet.py
+++ b/tests/budgets/fleet.py
@@ -11,7 +11,11 @@
 from dataclasses import dataclass, field
 from heapq import heappop, heappush
 
-from worksrail.core.budgets import BudgetBounds, SharedBudgets, ToldBudgets
+from worksrail.core.budgets import (
+    AdvertisedBudgets,
+    BudgetBounds,
+    SharedBudgets,
+)
 from worksrail.core.identity import Incarnation
 
 STEP = 0.05
@@ -69,7 +73,7 @@
     was_away: bool = False
 
 
-_Message = tuple[float, float, Place, Incarnation, str, ToldBudgets]
+_Message = tuple[float, float, Place, Incarnation, str, AdvertisedBudgets]
 
 
 @dataclass(slots=True)
@@ -158,7 +162,7 @@
             if place in self.instances and self._hears(place):
                 instance = self.instances[place]
                 instance.heard[zone or teller.label] = self.now
-                instance.budgets.take(teller, told, self.now, zone=zone)
+                instance.budgets.receive(teller, told, self.now, zone=zone)
 
     def _hears(self, place: Place) -> bool:
         scene = self.scene
@@ -173,22 +177,24 @@
         budgets = instance.budgets
         if instance.was_away:
             instance.was_away = False
-            budgets.note_pause(self.now)
+            budgets.handle_pause(self.now)
         # What the real fleet knows of single instances: zones stand for them.
         heard = instance.heard.values()
         live = sum(self.now - at < _DEAD_AFTER for at in heard)
         size = self.zones * self.per_zone
         known = self.per_zone - 1 + self.zones - 1
-        budgets.join(1 + round(live * (size - 1) / max(1, known)), size)
+        budgets.set_fleet_size(
+            1 + round(live * (size - 1) / max(1, known)), size
+        )
         if round(self.now / STEP) % 2:
-            budgets.tend(self.now)
+            budgets.maintain(self.now)
         if self._hears(place) and self.now >= instance.digest_at:
             instance.digest_at = self.now + _DIGEST
             self._tell(place, instance)
 
     def _tell(self, place: Place, instance: _Instance) -> None:
         zone = place[0]
-        told = instance.budgets.tell(self.now)
+        told = instance.budgets.advertise(self.now)
         for other in self.instances:
             if other[0] == zone and other != place:
                 self._post(other, instance.who, '', told, _NEAR)
@@ -197,7 +203,7 @@
         if self.now < instance.zone_digest_at:
             return
         instance.zone_digest_at = self.now + _ZONE_DIGEST
-        told = instance.budgets.tell_for_zone(self.now)
+        told = instance.budgets.advertise_zone(self.now)
         for other_zone in range(self.zones):
             if other_zone == zone or self.rng.random() < self.scene.loss:
                 continue
@@ -222,7 +228,7 @@
         place: Place,
         who: Incarnation,
         zone: str,
-        told: ToldBudgets,
+        told: AdvertisedBudgets,
         way: float,
     ) -> None:
         if self.rng.random() >= self.scene.loss:
@@ -243,7 +249,7 @@
                 self._serve(place, self.instances[place])
 
     def _serve(self, place: Place, instance: _Instance) -> None:
-        instance.budgets.note_request(_SERVICE, self.now)
+        instance.budgets.record_request(_SERVICE, self.now)
         for _ in range(_MOST_REPEATS):
             if self.rng.random() >= self.scene.wanted(self.now, place):
                 return
--- a/tests/budgets/test_giving_way.py
+++ b/tests/budgets/test_giving_way.py
@@ -4,25 +4,25 @@
 
 from worksrail.core.budgets import (
     BudgetBounds,
+    BudgetUse,
     Others,
     SharedBudget,
-    ToldUse,
 )
 
 _WINDOW: Final = 10
-_ALONE: Final = Others(ToldUse())
+_ALONE: Final = Others(BudgetUse())
 
 
 def test_what_was_sent_stays_told_though_requests_become_fewer() -> None:
     bounds = BudgetBounds(ratio=0.2, window=_WINDOW, extra=0)
     budget = SharedBudget.from_bounds(bounds, seed=1)
     for tenth in range(10 * _WINDOW):
-        budget.note_request(tenth / 10)
+        budget.record_request(tenth / 10)
     sent = sum(budget.spend(_WINDOW, _ALONE) for _ in range(10 * _WINDOW))
     assert sent
     # Most requests have left the window by now, the repeats have not.
     later = 1.8 * _WINDOW
-    budget.tend(later, _ALONE)
+    budget.maintain(later, _ALONE)
     assert budget.use(later).reserved >= sent
 
 
@@ -30,11 +30,11 @@
     bounds = BudgetBounds(ratio=0.2, window=_WINDOW, extra=0)
     budget = SharedBudget.from_bounds(bounds, seed=1)
     for tenth in range(10 * _WINDOW):
-        budget.note_request(tenth / 10)
-    budget.tend(_WINDOW, _ALONE)
+        budget.record_request(tenth / 10)
+    budget.maintain(_WINDOW, _ALONE)
     assert budget.spend(_WINDOW, _ALONE)
     budget.give_back(_WINDOW)
-    others = Others(ToldUse(reserved=100), instances=2)
-    budget.tend(_WINDOW + 0.1, others)
+    others = Others(BudgetUse(reserved=100), instances=2)
+    budget.maintain(_WINDOW + 0.1, others)
     assert budget.free(_WINDOW + 0.1)
     assert not budget.spend(_WINDOW + 0.1, others)
--- a/tests/budgets/test_parts.py
+++ b/tests/budgets/test_parts.py
@@ -5,12 +5,12 @@
 import pytest
 
 from worksrail.core.budgets import (
+    AdvertisedBudgets,
     BudgetBounds,
+    BudgetUse,
     Others,
     SharedBudget,
     SharedBudgets,
-    ToldBudgets,
-    ToldUse,
 )
 from worksrail.core.identity import Incarnation
 
@@ -23,9 +23,9 @@
 _KEPT: Final = 0.8
 # Another instance with as many requests.
 _PARTS: Final = (round(_RATE * _WINDOW / 8),) * 12
-_QUIET: Final = ToldUse(_PARTS, load=_RATE)
+_QUIET: Final = BudgetUse(_PARTS, load=_RATE)
 _TWO: Final = Others(_QUIET, instances=2)
-_WANTING: Final = Others(ToldUse(_PARTS, load=_RATE, wanting=_RATE), 2)
+_WANTING: Final = Others(BudgetUse(_PARTS, load=_RATE, wanting=_RATE), 2)
 
 
 def _tend(
@@ -38,8 +38,8 @@
     """Let requests come at an even rate; tells the time."""
     for tick in range(round(begin / _TICK), round(end / _TICK)):
         for _ in range(round(rate * _TICK)):
-            budget.note_request(tick * _TICK)
-        budget.tend(tick * _TICK, others)
+            budget.record_request(tick * _TICK)
+        budget.maintain(tick * _TICK, others)
     return end
 
 
@@ -85,7 +85,7 @@
 
 def test_parts_of_two_are_within_what_is_allowed() -> None:
     others = Others(
-        ToldUse(_PARTS, reserved=1.5 * _HALF, load=_RATE), instances=2
+        BudgetUse(_PARTS, reserved=1.5 * _HALF, load=_RATE), instances=2
     )
     budget = SharedBudget.from_bounds(_BOUNDS, seed=1)
     _tend(budget, 0, 2 * _WINDOW, others)
@@ -96,21 +96,21 @@
     one = SharedBudgets.begin(_BOUNDS, covered_from=-_WINDOW)
     other = SharedBudgets.begin(_BOUNDS, covered_from=-_WINDOW)
     for budgets in (one, other):
-        budgets.join(2, 2)
+        budgets.set_fleet_size(2, 2)
     for tick in range(round(2 * _WINDOW / _TICK)):
         now = tick * _TICK
         for budgets in (one, other):
             for _ in range(round(_RATE * _TICK)):
-                budgets.note_request('orders', now)
-            budgets.tend(now)
-        one.take(Incarnation('other', 1), other.tell(now), now)
-        other.take(Incarnation('one', 1), one.tell(now), now)
-    part = one.tell(now).used['orders'].reserved
+                budgets.record_request('orders', now)
+            budgets.maintain(now)
+        one.receive(Incarnation('other', 1), other.advertise(now), now)
+        other.receive(Incarnation('one', 1), one.advertise(now), now)
+    part = one.advertise(now).used['orders'].reserved
     assert part >= _KEPT * _HALF
-    other.take(Incarnation('one', 2), ToldBudgets(), now + 1)
+    other.receive(Incarnation('one', 2), AdvertisedBudgets(), now + 1)
     assert other.others('orders', now + 1).use.reserved >= part
     after = now + _WINDOW + 1
-    other.tend(after)
+    other.maintain(after)
     assert not other.others('orders', after).use.reserved
 
 
@@ -135,7 +135,7 @@
 
 def test_requests_that_move_here_are_not_counted_twice() -> None:
     budget, now = _settled()
-    moved = Others(ToldUse(_PARTS, load=0), instances=2)
+    moved = Others(BudgetUse(_PARTS, load=0), instances=2)
     late = 0.2 * _RATE * 0.45
     change = budget.left(now, _TWO) - budget.left(now, moved)
     assert change == pytest.approx(late, rel=0.1)
@@ -156,6 +156,6 @@
 def test_no_window_that_goes_on_can_have_more_than_is_allowed(
     came: tuple[int, ...], sent: tuple[int, ...], unsent: int, left: int
 ) -> None:
-    use = ToldUse(came, unsent + sum(sent), sent=sent)
+    use = BudgetUse(came, unsent + sum(sent), sent=sent)
     spans = [requests - repeats for requests, repeats in use.spans()]
     assert min(spans) == left
--- a/tests/budgets/test_sudden_loads.py
+++ b/tests/budgets/test_sudden_loads.py
@@ -53,12 +53,12 @@
         expected = rate * _STEP
         for _ in range(int(expected) + (rng.random() < expected % 1)):
             requests.append(now)
-            budgets.note_request('orders', now)
+            budgets.record_request('orders', now)
             if wanted and rng.random() < _REPEATED:
                 if budgets.spend('orders', now):
                     repeats.append(now)
         if not int(now / _STEP) % 2:
-            budgets.tend(now)
+            budgets.maintain(now)
         now = round(now + _STEP, 4)
     return _worst(bounds, requests, repeats)
 
--- a/tests/fuzz/test_permits.py
+++ b/tests/fuzz/test_permits.py
@@ -24,12 +24,12 @@
     LoanReturn,
 )
 from worksrail.core.permits import (
-    Addressed,
     GroupKey,
     Hold,
     Lender,
     Lending,
     LoanId,
+    LoanMessage,
     PermitLedger,
     PoolKey,
     PoolSpec,
@@ -55,7 +55,7 @@
         self.ledger.configure(
             1, [PoolSpec(key, _GROUP, n, 3) for key, n in _POOLS.items()]
         )
-        self.ledger.settle(1)
+        self.ledger.drop_splits_before(1)
         self.ledger.hold_seats([seat])
         self.lending = Lending(_SETTINGS, self.ledger)
         self.holds: list[tuple[Hold, float]] = []
@@ -73,7 +73,7 @@
     def clock(self, node: _Node) -> float:
         return self.now + node.offset
 
-    def post(self, sender: str, messages: list[Addressed]) -> None:
+    def post(self, sender: str, messages: list[LoanMessage]) -> None:
         for one in messages:
             self.wire.append((sender, one.receiver.name, one.message))
 
@@ -94,13 +94,13 @@
     @rule(name=st.sampled_from(_NAMES), waiting=st.integers(0, 4))
     def ask(self, name: str, waiting: int) -> None:
         node = self.nodes[name]
-        node.lending.note_shortage(_GROUP, waiting)
+        node.lending.set_shortage(_GROUP, waiting)
         lenders = [
             Lender(other.who, None)
             for other in self.nodes.values()
             if other is not node
         ]
-        asks = node.lending.ask(_GROUP, lenders, self.clock(node))
+        asks = node.lending.request_loan(_GROUP, lenders, self.clock(node))
         self.post(name, list(asks))
 
     @rule(name=st.sampled_from(_NAMES), key=st.sampled_from(list(_POOLS)))
@@ -109,7 +109,7 @@
         hold = node.ledger.take(key, self.clock(node))
         if isinstance(hold, Hold):
             node.holds.append((hold, self.now))
-            node.lending.note_use(_GROUP)
+            node.lending.record_use(_GROUP)
 
     @rule(name=st.sampled_from(_NAMES), pick=st.integers(0, 9))
     def release(self, name: str, pick: int) -> None:
@@ -155,7 +155,7 @@
                 self.post(name, list(answers))
             case LoanReturn():
                 loan = LoanId(sender, message.loan)
-                node.ledger.take_back(loan, message.keeps, now)
+                node.ledger.apply_return(loan, message.kept_parts, now)
 
     @invariant()
     def never_more_than_the_limit(self) -> None:
--- a/tests/limits/staggered.py
+++ b/tests/limits/staggered.py
@@ -64,7 +64,7 @@
         view |= members - away
         self.known[entry] |= view
         peers = {str(one): str(one) for one in sorted(view)}
-        self.states[entry].join(
+        self.states[entry].update_members(
             Members(peers, len(self.known[entry])), self.network.now
         )
         self._run(entry)
--- a/tests/limits/test_faults_are_noticed.py
+++ b/tests/limits/test_faults_are_noticed.py
@@ -20,7 +20,7 @@
     play,
 )
 from worksrail.core.limits import (
-    LimitStanding,
+    LimitStatus,
     Members,
     SharedLimits,
     _accounts,
@@ -41,8 +41,8 @@
 
 def _always_ample(
     self: OwnedLimit, used: int, wanted: int, now: float
-) -> LimitStanding:
-    return LimitStanding(wanted, ample=True, wait=0)
+) -> LimitStatus:
+    return LimitStatus(wanted, ample=True, wait=0)
 
 
 def _nothing(*unused: Any) -> None:
--- a/tests/limits/test_shared_limits.py
+++ b/tests/limits/test_shared_limits.py
@@ -11,7 +11,7 @@
     LimitHandover,
     LimitReply,
     LimitReport,
-    LimitStanding,
+    LimitStatus,
     Members,
     Settled,
     SharedLimit,
@@ -22,8 +22,8 @@
 from worksrail.core.membership import rendezvous
 
 _LIMIT = SharedLimit(rate=10, capacity=20)
-_PLENTY = LimitStanding(granted=0, ample=True, wait=0)
-_SHORT = LimitStanding(granted=0, ample=False, wait=0)
+_PLENTY = LimitStatus(granted=0, ample=True, wait=0)
+_SHORT = LimitStatus(granted=0, ample=False, wait=0)
 
 
 def _owner_among(names: Iterable[str]) -> str:
@@ -39,7 +39,7 @@
     limits = SharedLimits.begin(Incarnation(name, 1), f'{name}:1', 0)
     limits.follow({'q': _LIMIT}, 0)
     peers = {one: f'{one}:1' for one in {name, *others}}
-    limits.join(Members(peers, len(peers) + silent), 0)
+    limits.update_members(Members(peers, len(peers) + silent), 0)
     limits.take_outputs()
     return limits
 
@@ -133,14 +133,14 @@
     granted: int, wait: float, admission: Admission
 ) -> None:
     limits, report = _asking()
-    standing = LimitStanding(granted, ample=False, wait=wait)
+    standing = LimitStatus(granted, ample=False, wait=wait)
     limits.receive(LimitReply(report.number, {'q': standing}), 0.1)
     assert _verdicts(limits) == {7: Verdict(admission, wait)}
 
 
 def test_denied_limit_is_not_asked_for_with_every_request() -> None:
     limits, report = _asking()
-    standing = LimitStanding(0, ample=False, wait=0.7)
+    standing = LimitStatus(0, ample=False, wait=0.7)
     limits.receive(LimitReply(report.number, {'q': standing}), 0.1)
     limits.take_outputs()
     verdict = limits.admit('q', 8, 0.15)
@@ -216,7 +216,7 @@
     (sent,) = _messages(owner)
     assert sent.peer == 'z:1'
     assert sent.message == LimitReply(
-        5, {'q': LimitStanding(granted=1, ample=True, wait=0)}
+        5, {'q': LimitStatus(granted=1, ample=True, wait=0)}
     )
     assert owner.owned.limits['q'].bucket.level == pytest.approx(17)
 
@@ -239,7 +239,7 @@
     _ask_of(owner, 'new', forwarded=True)
     (sent,) = _messages(owner)
     assert sent.message == LimitReply(
-        5, {'new': LimitStanding(granted=1, ample=True, wait=0)}
+        5, {'new': LimitStatus(granted=1, ample=True, wait=0)}
     )
 
 
@@ -250,7 +250,7 @@
     names = 'ab' + next(
         one for one in 'cdefgh' if _owner_among(f'ab{one}') == one
     )
-    owner.join(Members({one: f'{one}:1' for one in names}, 3), 0)
+    owner.update_members(Members({one: f'{one}:1' for one in names}, 3), 0)
     (sent,) = _messages(owner)
     assert sent.peer == f'{names[-1]}:1'
     assert sent.message == LimitHandover({'q': level})
@@ -262,7 +262,7 @@
 
 def test_owner_without_a_word_of_its_predecessor_begins_low() -> None:
     limits = _entry('a', ())
-    limits.join(Members({'a': 'a:1', 'e': 'e:1'}, 2), 50)
+    limits.update_members(Members({'a': 'a:1', 'e': 'e:1'}, 2), 50)
     limits.owned.serve('q', _LIMIT, 0, 0, since=50, now=50)
     assert limits.owned.limits['q'].bucket.level == pytest.approx(5)
 
@@ -277,7 +277,7 @@
 def test_owner_that_stood_still_knows_nothing_any_more() -> None:
     owner = _owner()
     owner.admit('q', 1, 100)
-    owner.note_pause(200)
+    owner.handle_pause(200)
     assert not owner.owned.limits
 
 
@@ -320,7 +320,7 @@
 
 def test_fresh_entry_asks_a_seed() -> None:
     limits, report = _fresh()
-    standing = LimitStanding(1, ample=True, wait=0)
+    standing = LimitStatus(1, ample=True, wait=0)
     limits.receive(LimitReply(report.number, {'q': standing}), 0.1)
     assert _verdicts(limits)[1].admission is Admission.ADMITTED
 
@@ -329,7 +329,7 @@
     limits, _ = _fresh()
     limits.tick(0.4)
     assert not limits.take_outputs()
-    limits.join(Members({'a': 'a:1'}, 1), 0.5)
+    limits.update_members(Members({'a': 'a:1'}, 1), 0.5)
     assert _verdicts(limits)[1].admission is Admission.ADMITTED
 
 
@@ -337,7 +337,7 @@
     limits = SharedLimits.begin(Incarnation('s', 1), 's:1', 0, ('s:1',))
     limits.follow({'q': _LIMIT}, 0)
     assert limits.admit('q', 1, 0).admission is Admission.ADMITTED
-    limits.join(Members({'s': 's:1', 'a': 'a:1', 'b': 'b:1'}, 3), 0.5)
+    limits.update_members(Members({'s': 's:1', 'a': 'a:1', 'b': 'b:1'}, 3), 0.5)
     moved = _owner_among('sab') != 's'
     assert [one.peer for one in _messages(limits)] == (
         [f'{_owner_among("sab")}:1'] if moved else []
@@ -348,10 +348,10 @@
     # Its own allowance must not bind it when it hears the others again.
     owner = _owner_among('abcd')
     limits = _entry(owner, set('abcd') - {owner})
-    limits.join(Members({owner: f'{owner}:1'}, 8), 100)
+    limits.update_members(Members({owner: f'{owner}:1'}, 8), 100)
     assert limits.admit('q', 1, 100).admission is Admission.ADMITTED
     assert limits.admit('q', 2, 100).admission is Admission.DENIED
-    limits.join(Members({one: f'{one}:1' for one in 'abcd'}, 4), 200)
+    limits.update_members(Members({one: f'{one}:1' for one in 'abcd'}, 4), 200)
     verdicts = [limits.admit('q', ticket, 210) for ticket in range(15)]
     assert {one.admission for one in verdicts} == {Admission.ADMITTED}
 
@@ -359,6 +359,6 @@
 def test_reply_of_a_limit_that_is_gone_settles_who_waited() -> None:
     limits, report = _asking()
     limits.follow({}, 0.1)
-    standing = LimitStanding(1, ample=True, wait=0)
+    standing = LimitStatus(1, ample=True, wait=0)
     limits.receive(LimitReply(report.number, {'q': standing}), 0.2)
     assert _verdicts(limits)[7].admission is Admission.ADMITTED
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -152,14 +152,14 @@
         )
     )
     assert decoded.customers is not None
-    acme = decoded.customers.holder_of(digest_of_key(b'k-2'))
+    acme = decoded.customers.find_by_key(digest_of_key(b'k-2'))
     assert isinstance(acme, Customer)
     assert (acme.name, acme.priority, acme.regions) == ('acme', 0, {'here'})
     assert acme.quota == Quota(10, 5)
     bare = decoded.customers.customers['bare']
     assert (bare.keys, bare.priority, bare.quota) == ((), None, None)
     assert decoded.customers.customers['free'].quota is None
-    unknown = decoded.customers.holder_of(digest_of_key(b'k-4'))
+    unknown = decoded.customers.find_by_key(digest_of_key(b'k-4'))
     assert unknown is NoCustomer.UNKNOWN_KEY
 
 
@@ -378,8 +378,8 @@
 def test_upstream_that_tells_its_start() -> None:
     untold = decode_upstream('i-1', _upstream(), None)
     told = decode_upstream('i-1', _upstream() | {'born': 17}, None)
-    assert (untold.name, untold.listed_as, untold.born) == ('i-1', 'i-1', 0)
-    assert (told.name, told.listed_as, told.born) == ('i-1@17', 'i-1', 17)
+    assert (untold.name, untold.discovery_id, untold.born) == ('i-1', 'i-1', 0)
+    assert (told.name, told.discovery_id, told.born) == ('i-1@17', 'i-1', 17)
 
 
 @pytest.mark.parametrize('born', ['17', 1.5, True, -1])
--- a/tests/platform/test_metrics.py
+++ b/tests/platform/test_metrics.py
@@ -3,7 +3,7 @@
 import pytest
 
 from tests.steering.world import World, route, upstream
-from worksrail.core.budgets import ToldBudgets, ToldUse
+from worksrail.core.budgets import AdvertisedBudgets, BudgetUse
 from worksrail.core.identity import Incarnation
 from worksrail.core.pacing import NamedLimit
 from worksrail.core.quarantine import Crash
@@ -62,7 +62,7 @@
     world = World((route('read'),), [upstream('1')])
     for number in range(3):
         crash = Crash(str(number), world.state.quarantine.begin(7, world.now))
-        world.state.quarantine.note_crash(7, crash, world.now)
+        world.state.quarantine.record_crash(7, crash, world.now)
     metrics = SteeringMetrics.create()
     shown = metrics.render(world.state, world.now, 0).decode()
     assert 'worksrail_requests_held 1.0' in shown
@@ -96,8 +96,10 @@
         (route('read'),), [upstream('1'), upstream('2')], bounds=bounds
     )
     metrics = SteeringMetrics.create()
-    told = ToldBudgets(10, {'orders': ToldUse((0, 0, 0, 0, 50), reserved=4)})
-    world.state.budgets.take(Incarnation('two', 1), told, world.now)
+    told = AdvertisedBudgets(
+        10, {'orders': BudgetUse((0, 0, 0, 0, 50), reserved=4)}
+    )
+    world.state.budgets.receive(Incarnation('two', 1), told, world.now)
     number = world.ask()
     for effect in world.end(number, AttemptOutcome.NOT_EXECUTED):
         if isinstance(effect, Decision):
--- a/tests/platform/test_packing.py
+++ b/tests/platform/test_packing.py
@@ -4,7 +4,7 @@
 import pytest
 
 from tests.steering.world import upstream
-from worksrail.core.steering import StoreNews
+from worksrail.core.steering import StoreUpdate
 from worksrail.daemon.steered._packing import pack, unpack
 
 
@@ -25,7 +25,7 @@
         )
         for number in range(3000)
     )
-    payload = msgspec.msgpack.encode(StoreNews(9, records=records))
+    payload = msgspec.msgpack.encode(StoreUpdate(9, records=records))
     assert len(pack(payload)) < len(payload) / 3
 
 
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -9,7 +9,7 @@
 from tornado.testing import bind_unused_port
 
 from tests.platform.test_decoding import CONFIGURATION
-from worksrail.core.steering import StoreNews
+from worksrail.core.steering import StoreUpdate
 from worksrail.core.steering.kinds import StoreKind
 from worksrail.daemon.steered import StoreFault
 from worksrail.platform import PlatformStore
@@ -51,7 +51,7 @@
         return await client.read_all(StoreKind.UPSTREAMS), store.revision
 
     news, revision = _run(use)
-    assert isinstance(news, StoreNews)
+    assert isinstance(news, StoreUpdate)
     assert [record.name for record in news.records] == [
         str(number) for number in range(count)
     ]
@@ -65,7 +65,7 @@
         store.put('servers', '2', *entry('2'))
         store.remove('servers', '1')
         old = await client.read_all(StoreKind.UPSTREAMS, stale=True)
-        assert isinstance(old, StoreNews)
+        assert isinstance(old, StoreUpdate)
         since = await client.watch(StoreKind.UPSTREAMS, old.revision, 20)
         return old, since
 
@@ -88,14 +88,14 @@
     async def use(store: ObjectStore, client: PlatformStore) -> Any:
         store.put('servers', '1', *entry('1'))
         listed = await client.read_all(StoreKind.UPSTREAMS)
-        assert isinstance(listed, StoreNews)
+        assert isinstance(listed, StoreUpdate)
         watch = asyncio.ensure_future(
             client.watch(StoreKind.UPSTREAMS, listed.revision, 20)
         )
         await asyncio.sleep(0.05)
         store.put('servers', '1', *entry('1', 'draining', 2))
         first = await watch
-        assert isinstance(first, StoreNews)
+        assert isinstance(first, StoreUpdate)
         store.remove('servers', '1')
         second = await client.watch(StoreKind.UPSTREAMS, first.revision, 20)
         return first, second
@@ -109,7 +109,7 @@
     async def use(store: ObjectStore, client: PlatformStore) -> Any:
         return await client.watch(StoreKind.EVACUATIONS, 0, 0.05)
 
-    assert _run(use) == StoreNews(0)
+    assert _run(use) == StoreUpdate(0)
 
 
 def test_watch_that_waits_hears_of_a_silence_only_after_it() -> None:
@@ -184,7 +184,7 @@
         return await client.read_all(kinds[kind])
 
     news = _run(use)
-    assert isinstance(news, StoreNews)
+    assert isinstance(news, StoreUpdate)
     assert len(news.faults) == 1
     assert not news.records
     assert news.configuration is None
--- a/tests/retrying.py
+++ b/tests/retrying.py
@@ -47,7 +47,7 @@
     successes: int = 0
     """Requests answered."""
 
-    def note_sent(self, key: tuple[int, int], trace: str) -> None:
+    def record_sent(self, key: tuple[int, int], trace: str) -> None:
         """Count a request that goes to an upstream."""
         self.under_way.add(key)
         if trace in self.passed:
@@ -97,7 +97,7 @@
             key = (id(process), effect.request)
             trace = process.exchanges[effect.request].trace
             sent = isinstance(effect, SendUpstream)
-            note = self.tally.note_sent if sent else self.tally.note_passed
+            note = self.tally.record_sent if sent else self.tally.note_passed
             note(key, trace)
         elif isinstance(effect, Note):
             self._count_note(process, effect)
--- a/tests/steering/crash_policies.py
+++ b/tests/steering/crash_policies.py
@@ -74,18 +74,18 @@
 ) -> int:
     record = quarantine.records.get(request)
     number = record.count + 1 if record else 1
-    counted = replace(crash, number=number, well_at=inf)
+    counted = replace(crash, number=number, last_success_at=inf)
     return _note_crash(quarantine, request, counted, now)
 
 
-_note_crash: Final = Quarantine.note_crash
+_note_crash: Final = Quarantine.record_crash
 
 Change = tuple[Any, str, Any]
 _WAYS: Final[dict[str, tuple[Change, ...]]] = {
     'nothing is held': ((Quarantine, 'hold_time', _never),),
-    'own sightings only': ((Quarantine, 'to_tell', _nothing),),
+    'own sightings only': ((Quarantine, 'advertise', _nothing),),
     'own and told, each crash counts': (
-        (Quarantine, 'note_crash', _each_crash_counts),
+        (Quarantine, 'record_crash', _each_crash_counts),
     ),
     'own and told, one after the other': (),
     'the same, held for 30 s at first': (
@@ -99,7 +99,7 @@
 class _TellingWorld(CrashingWorld):
     """Says at each break whether the upstream's other connections are gone."""
 
-    def note_crash(
+    def record_crash(
         self,
         quarantine: Quarantine,
         request: int,
@@ -131,10 +131,10 @@
         if way == _ORACLE:
 
             def note(*arguments: Any) -> int:
-                return world.note_crash(*arguments)
+                return world.record_crash(*arguments)
 
             changes.enter_context(
-                mock.patch.object(Quarantine, 'note_crash', note)
+                mock.patch.object(Quarantine, 'record_crash', note)
             )
         _run(world, load)
     return _result(world, load)
--- a/tests/steering/crashing_world.py
+++ b/tests/steering/crashing_world.py
@@ -145,7 +145,7 @@
             for number, name in enumerate(names)
         )
         for name in self.states:
-            self.tell_store(name, 1, self.records)
+            self.deliver_store(name, 1, self.records)
         super().wait(2)
 
     def start(self, name: str) -> None:
@@ -158,7 +158,7 @@
                 one for one in server.executing if one.entry != name
             ]
         if self.servers:
-            self.tell_store(name, 1, self.records)
+            self.deliver_store(name, 1, self.records)
 
     def ask(self, target: str, *, faulty: bool = False) -> None:
         """A caller sends a request to any entry that runs."""
--- a/tests/steering/fleet_world.py
+++ b/tests/steering/fleet_world.py
@@ -27,13 +27,13 @@
     SteeringState,
     UpstreamRecord,
     look_up,
-    news_since,
     reduce,
+    store_update_since,
 )
 from worksrail.core.steering.effects import (
     CheckStore,
     Effect,
-    FetchNews,
+    FetchStoreUpdate,
     ListStore,
     SendDigest,
     SendPacingMessage,
@@ -43,12 +43,12 @@
     DigestReceived,
     EvacuationsRead,
     Event,
-    NewsFetched,
-    NewsMissed,
     PacingMessageReceived,
     StoreAnswered,
     StoreChecked,
     StoreLost,
+    StoreUpdateFailed,
+    StoreUpdateFetched,
     Ticked,
     UpstreamsListed,
 )
@@ -85,7 +85,7 @@
         self.regions = regions
         self.loss = loss
         self.told = told
-        self.fetched: list[tuple[str, FetchNews]] = []
+        self.fetched: list[tuple[str, FetchStoreUpdate]] = []
         self.store = 0
         self.turned_away: set[str] = set()
         self.frozen: set[str] = set()
@@ -127,9 +127,9 @@
         )
         self.states[name] = state
         if self.told:
-            self.tell_store(name, 1)
+            self.deliver_store(name, 1)
 
-    def tell_store(
+    def deliver_store(
         self,
         name: str,
         revision: int,
@@ -179,7 +179,7 @@
                 if name not in self.frozen:
                     self._run(name, Ticked(self.now))
 
-    def digests_of(self, seconds: float) -> list[tuple[str, Digest]]:
+    def collect_digests(self, seconds: float) -> list[tuple[str, Digest]]:
         """What entries tell in some seconds, with its receivers."""
         told: list[tuple[str, Digest]] = []
         for _ in range(round(seconds / STEP)):
@@ -205,25 +205,29 @@
         asked, self.fetched = self.fetched, []
         for name, fetch in asked:
             peer = fetch.peer.partition(':')[0]
-            event: Event = NewsMissed(self.now, fetch.kind, fetch.peer)
+            event: Event = StoreUpdateFailed(self.now, fetch.kind, fetch.peer)
             if self._is_reached(peer) and self._is_reached(name):
                 teller = self.states[peer]
-                news = news_since(teller, fetch.kind, fetch.since, self.now)
-                event = NewsFetched(self.now, fetch.kind, fetch.peer, news)
+                news = store_update_since(
+                    teller, fetch.kind, fetch.since, self.now
+                )
+                event = StoreUpdateFetched(
+                    self.now, fetch.kind, fetch.peer, news
+                )
             if name in self.states and name not in self.frozen:
                 self._run(name, event)
 
     def _tell_watchers(self) -> None:
         unreached = self.frozen | self.cut_off
         for name in sorted(self.watchers() - unreached) if self.store else ():
-            known = min(self.states[name].mirror.revisions.values())
+            known = min(self.states[name].store_sync.revisions.values())
             if name in self.turned_away:
                 for kind in StoreKind:
                     lost = StoreLost(self.now, kind, 'busy')
                     self._run(name, lost)
             elif known < self.store and not self.silent:
                 self.calls['watch'] += len(StoreKind)
-                self.tell_store(name, self.store, self.listed)
+                self.deliver_store(name, self.store, self.listed)
 
     def _run(self, name: str, event: Event) -> None:
         self._perform(name, reduce(self.states[name], event))
@@ -234,12 +238,14 @@
         self.calls['list'] += len(listed) * len(StoreKind)
         unheard = self.silent or name in self.turned_away | self.cut_off
         if listed and self.store and not unheard:
-            self.tell_store(name, self.store, self.listed)
+            self.deliver_store(name, self.store, self.listed)
         if of_type(effects, CheckStore):
             self.calls['check'] += 1
             failure = 'no answer' if unheard else ''
             self._run(name, StoreChecked(self.now, failure))
-        self.fetched += [(name, one) for one in of_type(effects, FetchNews)]
+        self.fetched += [
+            (name, one) for one in of_type(effects, FetchStoreUpdate)
+        ]
         for effect in of_type(effects, SendDigest):
             for receiver in effect.receivers:
                 places = (name.partition('-')[0], receiver.partition('-')[0])
--- a/tests/steering/limit_policies.py
+++ b/tests/steering/limit_policies.py
@@ -96,7 +96,7 @@
 
     obtain = permission
 
-    def note_sent(self, upstream: str, now: float) -> None:
+    def record_sent(self, upstream: str, now: float) -> None:
         """Take a token."""
         if self.is_limited(upstream):
             self.buckets[upstream].spend(1, now)
--- a/tests/steering/limiting_world.py
+++ b/tests/steering/limiting_world.py
@@ -150,7 +150,7 @@
             for number, name in enumerate(self.names)
         )
         for name in self.states:
-            self.tell_store(name, 1, self.records)
+            self.deliver_store(name, 1, self.records)
         super().wait(2)
         self.demand = demand or Demand(0)
 
@@ -159,7 +159,7 @@
         super().start(name)
         self.executing = [one for one in self.executing if one.entry != name]
         if self.records:
-            self.tell_store(name, 1, self.records)
+            self.deliver_store(name, 1, self.records)
 
     def limit(self, rate: float, *names: str) -> None:
         """Let some upstreams name a limit, or another one."""
@@ -174,7 +174,7 @@
             for record in self.records
         )
         for entry in self.states:
-            self.tell_store(entry, 2, self.records)
+            self.deliver_store(entry, 2, self.records)
 
     def unlimit(self, *names: str) -> None:
         """Let some upstreams name no limit any more."""
--- a/tests/steering/policies.py
+++ b/tests/steering/policies.py
@@ -17,10 +17,10 @@
 from worksrail.core.steering import (
     _affinity,
     _choosing,
+    _congestion,
     _load,
+    _max_wait,
     _placing,
-    _shortage,
-    _waiting,
 )
 
 _SEEDS: Final = (1, 2, 3)
@@ -48,24 +48,24 @@
 _VARIANTS: Final[dict[str, Sequence[Change]]] = {
     'as it is': (),
     'returned callers wait 0.2 of the target': (
-        (_waiting, '_RETURNED_WAIT', 0.2),
+        (_max_wait, '_RETURNED_WAIT', 0.2),
     ),
     'returned callers wait half of the target': (
-        (_waiting, '_RETURNED_WAIT', 0.5),
+        (_max_wait, '_RETURNED_WAIT', 0.5),
     ),
     'retry after 0.1 s': ((_placing, '_SHORTEST_RETRY', 0.1),),
     'retry after 0.4 s': ((_placing, '_SHORTEST_RETRY', 0.4),),
     'no other home': ((_choosing, '_other_home', _no_other_home),),
     'no spill': ((_affinity, 'SPILL', 1),),
     'spill to four': ((_affinity, 'SPILL', 4),),
-    'no price on short slots': ((_shortage, '_SHORTAGE', 0.0),),
-    'half the price on short slots': ((_shortage, '_SHORTAGE', 1.5),),
-    'twice the price on short slots': ((_shortage, '_SHORTAGE', 6.0),),
-    'no price on crowding': ((_shortage, '_CROWDING', 0.0),),
+    'no price on short slots': ((_congestion, '_SHORTAGE', 0.0),),
+    'half the price on short slots': ((_congestion, '_SHORTAGE', 1.5),),
+    'twice the price on short slots': ((_congestion, '_SHORTAGE', 6.0),),
+    'no price on crowding': ((_congestion, '_CROWDING', 0.0),),
     'strangers cost as much as homes': ((_choosing, '_STRANGER_LOSS', 1.0),),
     'served homes cost as cold ones': ((_choosing, '_SERVED_LOSS', 1.0),),
-    'in time is 0.75 of the target': ((_waiting, '_ON_TIME', 0.75),),
-    'in time is the whole target': ((_waiting, '_ON_TIME', 1.0),),
+    'in time is 0.75 of the target': ((_max_wait, '_ON_TIME', 0.75),),
+    'in time is the whole target': ((_max_wait, '_ON_TIME', 1.0),),
     'no speed learned': ((_load, '_GAIN', 0.0),),
     'no rejection learned': ((_load, '_REJECTING_GAIN', 0.0),),
 }
--- a/tests/steering/repeating_world.py
+++ b/tests/steering/repeating_world.py
@@ -121,7 +121,7 @@
             for number in range(_UPSTREAMS)
         )
         for name in self.states:
-            self.tell_store(name, 1, self.records)
+            self.deliver_store(name, 1, self.records)
         self.wait(0 if fresh else bounds.repeat_window + 2)
         self.count.begin = self.count.now
         self.demand.rate = rate
@@ -130,7 +130,7 @@
         """Start an entry, or start it again."""
         super().start(name)
         if self.records:
-            self.tell_store(name, 1, self.records)
+            self.deliver_store(name, 1, self.records)
 
     def crash(self, *names: str) -> None:
         """Kill entries, which are started again; all they did is lost."""
--- a/tests/steering/silent_store.py
+++ b/tests/steering/silent_store.py
@@ -8,7 +8,7 @@
 from worksrail.core.steering import (
     EntrySettings,
     SteeringBounds,
-    StoreNews,
+    StoreUpdate,
     UpstreamRecord,
 )
 from worksrail.core.steering.kinds import StoreKind
@@ -17,7 +17,7 @@
 from worksrail.daemon.steered._daemon import SteeredDaemon
 from worksrail.platform import PlatformCallers, PlatformUpstreams
 
-_Answer = StoreNews | StoreFault
+_Answer = StoreUpdate | StoreFault
 _STEP = 0.01
 # Seconds beyond its own time after which a call is given up.
 _LIMIT = 2.0
@@ -77,17 +77,17 @@
             StoreFault.UNREACHABLE,
         )
 
-    async def _list(self, kind: StoreKind) -> StoreNews:
+    async def _list(self, kind: StoreKind) -> StoreUpdate:
         await self._be_heard()
         if kind is StoreKind.CONFIGURATION:
-            return StoreNews(self.revision, configuration(1, (route(),)))
+            return StoreUpdate(self.revision, configuration(1, (route(),)))
         if kind is StoreKind.EVACUATIONS:
-            return StoreNews(self.revision)
-        return StoreNews(self.revision, records=tuple(self.records.values()))
+            return StoreUpdate(self.revision)
+        return StoreUpdate(self.revision, records=tuple(self.records.values()))
 
     async def _watch(
         self, kind: StoreKind, since: int, seconds: float
-    ) -> StoreNews:
+    ) -> StoreUpdate:
         await self._be_heard()
         begun, silences = self.clock.now(), self.silences
         while self.silent or not self._has_news(kind, since):
@@ -97,9 +97,9 @@
         if self.forgets and self.silences != silences:
             await asyncio.Event().wait()
         if kind is not StoreKind.UPSTREAMS:
-            return StoreNews(self.revision)
+            return StoreUpdate(self.revision)
         names = {name for at, name in self.changes if at > since}
-        return StoreNews(
+        return StoreUpdate(
             self.revision,
             records=tuple(
                 self.records[name] for name in names & self.records.keys()
--- a/tests/steering/test_against_naive.py
+++ b/tests/steering/test_against_naive.py
@@ -13,7 +13,10 @@
     Route,
     ServiceWeight,
 )
-from worksrail.core.steering._cold import ColdLimits, most_in_a_second
+from worksrail.core.steering._cold_limits import (
+    ColdLimits,
+    max_requests_per_second,
+)
 from worksrail.core.steering._splits import Splits
 
 _SEGMENT = st.sampled_from(['a', 'b', 'ab', ''])
@@ -74,13 +77,13 @@
     """Exchange digests as often as they are due from one moment to another."""
     for turn in range(int(before / _DIGEST) + 1, int(now / _DIGEST) + 1):
         at = turn * _DIGEST
-        told = [entry.tell(at) for entry in entries]
+        told = [entry.advertise(at) for entry in entries]
         for entry in entries:
-            entry.join(len(entries), len(entries))
-            entry.tend(at)
+            entry.set_fleet_size(len(entries), len(entries))
+            entry.maintain(at)
             for number, one in enumerate(entries):
                 if one is not entry:
-                    entry.take(Incarnation(str(number), 1), told[number], at)
+                    entry.receive(Incarnation(str(number), 1), told[number], at)
 
 
 @given(
@@ -107,7 +110,7 @@
         _tell_each_other(entries, now, now + gap)
         now += gap
         if is_request:
-            entries[entry].note_request('orders', now)
+            entries[entry].record_request('orders', now)
             requests.append(now)
         elif entries[entry].spend('orders', now):
             repeats.append(now)
@@ -128,8 +131,8 @@
         now += gap / 20
         limit = limits[number % sharers]
         if limit.allows('cold', rate, sharers, now):
-            limit.note_sent('cold', now)
+            limit.record_sent('cold', now)
             sent.append(now)
     for end in sent:
         within = [at for at in sent if end - 1 < at <= end]
-        assert len(within) <= most_in_a_second(rate, sharers)
+        assert len(within) <= max_requests_per_second(rate, sharers)
--- a/tests/steering/test_choice.py
+++ b/tests/steering/test_choice.py
@@ -259,13 +259,13 @@
     own = _answers(world, 1, 'k', gap=0.18)
     for taken in (0.18, 0.55, 0.55, 0.55, 0.55):
         assert _answers(world, 1, 'k', gap=taken) == own
-    assert world.state.loads.of(own).slowness_now(world.now) < 1.1
+    assert world.state.loads.of(own).current_slowness(world.now) < 1.1
 
 
 def test_times_without_keys_are_learned() -> None:
     world = World((route(affinity=False, target_latency=0.4),), _SIX)
     _answers(world, 40, gap=0.3)
-    times = world.state.warmth.of(route(affinity=False), 'orders')
+    times = world.state.warm_keys.of(route(affinity=False), 'orders')
     assert times.warm.typical == pytest.approx(0.3, abs=0.02)
 
 
--- a/tests/steering/test_choice_against_naive.py
+++ b/tests/steering/test_choice_against_naive.py
@@ -52,7 +52,7 @@
         load.slowness, load.slowness_at = one['slowness'], world.now
         load.failing, load.failing_at = one['failing'], world.now
         load.rejecting, load.rejecting_at = one['rejecting'], world.now
-        load.owing_since = world.now
+        load.unanswered_since = world.now
         load.ejected_until = world.now + 9 if one['ejected'] else 0
         if one['limit'] is not None:
             limit = NamedLimit(one['limit'], world.now)
--- a/tests/steering/test_crashing_requests.py
+++ b/tests/steering/test_crashing_requests.py
@@ -4,7 +4,7 @@
 
 from tests.steering.crashing_world import Away, CrashingWorld, Faults
 from tests.steering.world import World, of_type, route, upstream
-from worksrail.core.quarantine import ToldCrashes
+from worksrail.core.quarantine import AdvertisedCrashes
 from worksrail.core.results import ResultCode
 from worksrail.core.steering import ZoneDigest
 from worksrail.core.steering.effects import AnswerResult
@@ -155,14 +155,14 @@
     fingerprints = range(1, 51)
     for name in sorted(world.states):
         for one in fingerprints:
-            world.states[name].quarantine.take(
-                ToldCrashes(one, _PROOFS, 0, one), world.now
+            world.states[name].quarantine.receive(
+                AdvertisedCrashes(one, _PROOFS, 0, one), world.now
             )
     world.wait(0.3)
     first = world.states['b2-0'].quarantine
     for one in fingerprints:
         assert first.hold_time(one, world.now)
-        first.note_answer(one, world.now)
+        first.record_response(one, world.now)
     world.wait(1)
     held = {
         name: sum(
@@ -216,7 +216,7 @@
         world.end(number, AttemptOutcome.BROKE_BEFORE_ANSWER)
     assert len(world.sent(number)) == _PROOFS
     budget = world.state.budgets.budgets['orders']
-    assert budget.repeats.total(world.now) == _PROOFS - 1
+    assert budget.retries.total(world.now) == _PROOFS - 1
     (answer,) = of_type(world.effects, AnswerResult)
     assert answer.code is ResultCode.UPSTREAM_BROKE
 
@@ -227,7 +227,7 @@
     world.wait(8)
     told = [
         len(digest.crashes)
-        for _, digest in world.digests_of(2)
+        for _, digest in world.collect_digests(2)
         if not isinstance(digest, ZoneDigest)
     ]
     assert 0 < sum(told) <= len(told) / 4
--- a/tests/steering/test_customers.py
+++ b/tests/steering/test_customers.py
@@ -18,15 +18,15 @@
 from worksrail.core.limits import (
     Addressed,
     LimitReply,
-    LimitStanding,
+    LimitStatus,
     QuotaBounds,
-    limit_of,
+    quota_limit,
 )
 from worksrail.core.results import ResultCode
 from worksrail.core.steering import (
     EntryDigest,
-    StoreNews,
-    news_since,
+    StoreUpdate,
+    store_update_since,
 )
 from worksrail.core.steering.effects import (
     AnswerResult,
@@ -245,9 +245,11 @@
 
 def test_customers_go_from_entry_to_entry() -> None:
     world = _world()
-    told = news_since(world.state, StoreKind.CONFIGURATION, 0, world.now)
+    told = store_update_since(
+        world.state, StoreKind.CONFIGURATION, 0, world.now
+    )
     payload = msgspec.msgpack.encode(told)
-    assert msgspec.msgpack.decode(payload, type=StoreNews) == told
+    assert msgspec.msgpack.decode(payload, type=StoreUpdate) == told
 
 
 def test_decisions_tell_no_key() -> None:
@@ -313,7 +315,7 @@
     overage: float, slack: float, capacity: float
 ) -> None:
     bounds = QuotaBounds(5, overage, slack)
-    limit = limit_of(Quota(10, 10), bounds)
+    limit = quota_limit(Quota(10, 10), bounds)
     assert (limit.rate, limit.capacity) == (10, pytest.approx(capacity))
 
 
@@ -326,7 +328,7 @@
         world.wait(0.2)
         if world.state.limits.owners.owner_of(f'quota {name}') == 'two':
             break
-    reply = LimitReply(0, {f'quota {name}': LimitStanding(0, False, 0)})
+    reply = LimitReply(0, {f'quota {name}': LimitStatus(0, False, 0)})
     world.run(LimitMessageReceived(world.now, reply))
     number = _ask(world, 'read', 'k')
     (sent,) = of_type(world.effects, SendLimitMessage)
@@ -339,7 +341,7 @@
     world, number, report = _waiting()
     assert not _named(world, number)
     name = world.state.requests[number].customer_name
-    standing = LimitStanding(granted, False, 0.5)
+    standing = LimitStatus(granted, False, 0.5)
     reply = LimitReply(report, {f'quota {name}': standing})
     world.run(LimitMessageReceived(world.now, reply))
     assert _named(world, number) == [name] * granted
@@ -351,7 +353,7 @@
     world, number, report = _waiting()
     name = world.state.requests[number].customer_name
     world.run(CallerGone(world.now, number))
-    standing = LimitStanding(1, False, 0)
+    standing = LimitStatus(1, False, 0)
     reply = LimitReply(report, {f'quota {name}': standing})
     world.run(LimitMessageReceived(world.now, reply))
     assert not _named(world, number)
--- a/tests/steering/test_deafness.py
+++ b/tests/steering/test_deafness.py
@@ -80,7 +80,7 @@
     world = World((), (upstream('1'), upstream('2')), settle=1.2)
     world.check_failure = None
     world.wait(0.6)
-    assert world.state.catalog.pulse.checking
+    assert world.state.catalog.store_health.checking
     return world
 
 
--- a/tests/steering/test_following.py
+++ b/tests/steering/test_following.py
@@ -11,7 +11,7 @@
 from worksrail.core.steering import (
     RoutingConfiguration,
     SteeringState,
-    StoreNews,
+    StoreUpdate,
     UpstreamRecord,
     reduce,
 )
@@ -22,7 +22,7 @@
 from worksrail.daemon.steered._engine import SteeringEngine
 from worksrail.daemon.steered._following import Follower
 
-_Step = StoreNews | StoreFault
+_Step = StoreUpdate | StoreFault
 
 
 class ScriptedStore:
@@ -113,8 +113,8 @@
 def test_list_once_then_watch_on() -> None:
     followed = Followed(
         StoreKind.UPSTREAMS,
-        StoreNews(5, records=(upstream('1'), upstream('2'))),
-        StoreNews(8, records=(upstream('3'),), removed=('1',)),
+        StoreUpdate(5, records=(upstream('1'), upstream('2'))),
+        StoreUpdate(8, records=(upstream('3'),), removed=('1',)),
     )
     assert followed.store.calls == [None, 5, 8]
     assert set(followed.state.catalog.upstreams) == {'2', '3'}
@@ -123,8 +123,8 @@
 def test_stale_list_first_then_watch_on() -> None:
     followed = Followed(
         StoreKind.UPSTREAMS,
-        StoreNews(5, records=(upstream('1'), upstream('2'))),
-        StoreNews(8, records=(upstream('3'),), removed=('1',)),
+        StoreUpdate(5, records=(upstream('1'), upstream('2'))),
+        StoreUpdate(8, records=(upstream('3'),), removed=('1',)),
         listed_first=True,
     )
     assert followed.store.calls == [None, 5, 8]
@@ -135,10 +135,13 @@
 @pytest.mark.parametrize(
     ('steps', 'long'),
     [
-        ([StoreNews(5), StoreNews(6), StoreNews(7)], [True, True]),
-        ([StoreNews(5), StoreFault.UNREACHABLE, StoreNews(6)], [True, False]),
+        ([StoreUpdate(5), StoreUpdate(6), StoreUpdate(7)], [True, True]),
         (
-            [StoreNews(5), StoreFault.CUT, StoreFault.CUT, StoreNews(6)],
+            [StoreUpdate(5), StoreFault.UNREACHABLE, StoreUpdate(6)],
+            [True, False],
+        ),
+        (
+            [StoreUpdate(5), StoreFault.CUT, StoreFault.CUT, StoreUpdate(6)],
             [True, False, False],
         ),
     ],
@@ -154,8 +157,8 @@
 def test_reader_that_others_have_told_asks_shortly_at_first() -> None:
     followed = Followed(
         StoreKind.UPSTREAMS,
-        StoreNews(5, records=(upstream('1'),)),
-        StoreNews(6),
+        StoreUpdate(5, records=(upstream('1'),)),
+        StoreUpdate(6),
         listed_first=True,
     )
     assert [wait > 1 for wait in followed.store.waits] == [False, True]
@@ -164,7 +167,7 @@
 def test_reader_whose_turn_comes_again_asks_shortly_at_first() -> None:
     turn = asyncio.Event()
     turn.set()
-    store = ScriptedStore([StoreNews(5), StoreNews(6), StoreNews(7)])
+    store = ScriptedStore([StoreUpdate(5), StoreUpdate(6), StoreUpdate(7)])
     state = SteeringState.from_settings(settings(), Incarnation('one', 1), 0, 1)
     engine = SteeringEngine(state, {Decision: list[Decision]().append})
 
@@ -182,7 +185,7 @@
 
 
 def test_watch_ends_within_the_history_of_the_store() -> None:
-    followed = Followed(StoreKind.EVACUATIONS, StoreNews(5), StoreNews(5))
+    followed = Followed(StoreKind.EVACUATIONS, StoreUpdate(5), StoreUpdate(5))
     history = followed.state.settings.bounds.store_history
     assert followed.store.waits
     assert max(followed.store.waits) < history
@@ -192,8 +195,8 @@
 def test_answer_that_others_have_overtaken_takes_nothing_back(
     listed: bool,
 ) -> None:
-    step = StoreNews(7, records=(upstream('9'),), removed=('1',))
-    first = () if listed else (StoreNews(5, records=(upstream('0'),)),)
+    step = StoreUpdate(7, records=(upstream('9'),), removed=('1',))
+    first = () if listed else (StoreUpdate(5, records=(upstream('0'),)),)
     followed = Followed(
         StoreKind.UPSTREAMS, *first, step, overtaken=(8, upstream('1'))
     )
@@ -227,7 +230,7 @@
     def wait() -> None:
         end = now[0] + waited
         if checked is not None:
-            state.catalog.pulse.note_asked(now[0] + 0.1)
+            state.catalog.store_health.record_call(now[0] + 0.1)
         while checked is not None and now[0] + 0.5 < end:
             now[0] += 0.5
             failure = '' if checked else 'no answer'
@@ -238,7 +241,7 @@
         """Do not wait."""
 
     async def run() -> None:
-        step = StoreNews(5, records=(upstream('1'),))
+        step = StoreUpdate(5, records=(upstream('1'),))
         store = ScriptedStore((step, fault, step), before_last=wait)
         turn = asyncio.Event()
         turn.set()
@@ -249,15 +252,15 @@
             await follower.run()
 
     asyncio.run(run())
-    assert (state.catalog.pulse.returned_at > 0) is outage
+    assert (state.catalog.store_health.returned_at > 0) is outage
 
 
 def test_dropped_history_is_listed_anew() -> None:
     followed = Followed(
         StoreKind.UPSTREAMS,
-        StoreNews(5, records=(upstream('1'), upstream('2'))),
+        StoreUpdate(5, records=(upstream('1'), upstream('2'))),
         StoreFault.HISTORY_GONE,
-        StoreNews(90, records=(upstream('2'),)),
+        StoreUpdate(90, records=(upstream('2'),)),
     )
     assert followed.store.calls == [None, 5, None, 90]
     assert set(followed.state.catalog.upstreams) == {'2'}
@@ -277,9 +280,9 @@
 ) -> None:
     followed = Followed(
         StoreKind.CONFIGURATION,
-        StoreNews(1, configuration(1, (route(),))),
+        StoreUpdate(1, configuration(1, (route(),))),
         *[fault] * 8,
-        StoreNews(1),
+        StoreUpdate(1),
     )
     assert len(followed.pauses) == 8
     assert max(followed.pauses) <= longest
@@ -291,7 +294,7 @@
 
 
 def test_changes_of_upstreams_are_paced() -> None:
-    news = StoreNews(1, records=(upstream('1'),))
+    news = StoreUpdate(1, records=(upstream('1'),))
     assert Followed(StoreKind.UPSTREAMS, news, news).pauses == [0.3, 0.3]
     assert not Followed(StoreKind.CONFIGURATION, news, news).pauses
 
@@ -299,8 +302,8 @@
 def test_configuration_that_makes_no_sense_keeps_what_is_in_force() -> None:
     followed = Followed(
         StoreKind.CONFIGURATION,
-        StoreNews(1, configuration(4, (route(),))),
-        StoreNews(2, None, faults=('expected rows',)),
+        StoreUpdate(1, configuration(4, (route(),))),
+        StoreUpdate(2, None, faults=('expected rows',)),
     )
     in_force = followed.state.configuration
     assert isinstance(in_force, RoutingConfiguration)
@@ -310,8 +313,8 @@
 def test_evacuations_come_and_go() -> None:
     followed = Followed(
         StoreKind.EVACUATIONS,
-        StoreNews(1, zones=('a1', 'a2')),
-        StoreNews(2, removed=('a1',)),
-        StoreNews(3, zones=('b1',)),
+        StoreUpdate(1, zones=('a1', 'a2')),
+        StoreUpdate(2, removed=('a1',)),
+        StoreUpdate(3, zones=('b1',)),
     )
     assert followed.state.catalog.evacuated == {'a2', 'b1'}
--- a/tests/steering/test_lives.py
+++ b/tests/steering/test_lives.py
@@ -8,10 +8,10 @@
 from worksrail.core.steering import (
     Catalog,
     RouteKind,
-    StoreNews,
+    StoreUpdate,
     UpstreamRecord,
-    name_of_life,
-    news_since,
+    incarnation_name,
+    store_update_since,
 )
 from worksrail.core.steering.effects import (
     AnswerResult,
@@ -35,7 +35,7 @@
     named = {'identifier': identifier, 'born': born} | changes
     address = f'10.0.0.1:{identifier}'
     return upstream(
-        name_of_life(identifier, born), **({'address': address} | named)
+        incarnation_name(identifier, born), **({'address': address} | named)
     )
 
 
@@ -80,16 +80,16 @@
     elif gone == 'not listed':
         catalog.replace([life('2', 10)], 0)
     else:
-        catalog.pulse.hear(0)
-        catalog.pulse.note_asked(0.5)
-        catalog.pulse.take_answer(10)
+        catalog.store_health.record_answer(0)
+        catalog.store_health.record_call(0.5)
+        catalog.store_health.record_own_answer(10)
         catalog.replace([life('2', 10)], 10.1)
         assert len(catalog.upstreams) == 2
         for at in range(11, 21):
-            catalog.pulse.hear(at)
+            catalog.store_health.record_answer(at)
         assert catalog.expire(20) == ['1@10']
     assert list(catalog.upstreams) == ['2@10']
-    assert list(catalog.lives) == ['2']
+    assert list(catalog.current_incarnations) == ['2']
 
 
 def test_nothing_of_an_earlier_life_is_held_against_the_next() -> None:
@@ -98,12 +98,12 @@
         world.end(world.ask(), AttemptOutcome.BROKE_BEFORE_ANSWER)
         world.wait(0.2)
     before = world.state.loads.of('1@10')
-    before.note_speed(20, world.now)
+    before.record_speed(20, world.now)
     assert before.ejected_until > world.now
     _change(world, life('1', 20))
     after = world.state.loads.of('1@20')
     assert after.ejected_until == 0
-    assert after.slowness_now(world.now) == 1
+    assert after.current_slowness(world.now) == 1
     assert world.sent(world.ask()) == ['1']
 
 
@@ -185,12 +185,12 @@
 def test_news_of_a_restart_go_from_entry_to_entry() -> None:
     teller, other = (World(_ROUTES, [life('1', 10)]) for _ in range(2))
     _change(teller, life('1', 20))
-    news = news_since(teller.state, StoreKind.UPSTREAMS, 1, teller.now)
-    assert news == StoreNews(2, records=(life('1', 20),))
+    news = store_update_since(teller.state, StoreKind.UPSTREAMS, 1, teller.now)
+    assert news == StoreUpdate(2, records=(life('1', 20),))
     _change(other, *news.records, removed=news.removed)
     assert list(other.state.catalog.upstreams) == ['1@20']
     _change(teller, removed=('1',))
-    news = news_since(teller.state, StoreKind.UPSTREAMS, 1, teller.now)
+    news = store_update_since(teller.state, StoreKind.UPSTREAMS, 1, teller.now)
     assert news.removed == ('1',)
     _change(other, *news.records, removed=news.removed)
     assert not other.state.catalog.upstreams
--- a/tests/steering/test_nearness.py
+++ b/tests/steering/test_nearness.py
@@ -19,9 +19,9 @@
     zone_digest,
 )
 from worksrail.core.identity import Incarnation
-from worksrail.core.steering import SteeringState, ToldKeys, reduce
-from worksrail.core.steering._nearness import spread
-from worksrail.core.steering._sharing import KeySharing
+from worksrail.core.steering import KeySketch, SteeringState, reduce
+from worksrail.core.steering._key_overlap import KeyOverlap
+from worksrail.core.steering._region_shares import spread
 from worksrail.core.steering.effects import SendDigest, SendUpstream
 from worksrail.core.steering.events import (
     AttemptEnded,
@@ -152,7 +152,7 @@
         homes = {
             key: state.affinity.homes_of(
                 state.catalog,
-                state.nearness,
+                state.region_shares,
                 state.settings.region,
                 'orders',
                 key,
@@ -200,12 +200,12 @@
     # Within two seconds a region may move 0.15 of its requests at the most.
     entry = _Region('a1', _UNEVEN)
     before = entry.homes()
-    entry.state.nearness.demand = {'a': 0.05, 'b': 0.05, 'c': 0.9}
+    entry.state.region_shares.demand = {'a': 0.05, 'b': 0.05, 'c': 0.9}
     total = 0.0
     for _ in range(20):
         entry.tick(1.0)
         entry.tick(1.0)
-        entry.state.nearness.demand = {'a': 0.05, 'b': 0.05, 'c': 0.9}
+        entry.state.region_shares.demand = {'a': 0.05, 'b': 0.05, 'c': 0.9}
         after = entry.homes()
         assert _moved(before, after) < 0.12
         total += _moved(before, after)
@@ -230,23 +230,23 @@
     before = entry.homes()
     for second in range(72):
         swing = sin(tau * second / 36) * 0.55 / 3
-        entry.state.nearness.count(
+        entry.state.region_shares.observe_demand(
             {'a': 1 / 3 + swing, 'b': 1 / 3 - swing, 'c': 1 / 3}, entry.now
         )
         entry.tick(1.0)
         assert entry.homes() == before
 
 
-def _sketches(near: range, far: range) -> KeySharing:
-    sharing = KeySharing()
-    other = KeySharing()
+def _sketches(near: range, far: range) -> KeyOverlap:
+    key_overlap = KeyOverlap()
+    other = KeyOverlap()
     for number in near:
-        sharing.note('orders', f'k{number}', 1)
+        key_overlap.record_key('orders', f'k{number}', 1)
     for number in far:
-        other.note('orders', f'k{number}', 1)
+        other.record_key('orders', f'k{number}', 1)
     hashes = other.sketch('orders', [], 1)
-    sharing.take('zone b1', 'b', 'orders', hashes, 1)
-    return sharing
+    key_overlap.set_sketch('zone b1', 'b', 'orders', hashes, 1)
+    return key_overlap
 
 
 @pytest.mark.parametrize(
@@ -263,15 +263,15 @@
     far: range,
     shared: bool,
 ) -> None:
-    sharing = _sketches(range(200), far)
-    assert sharing.is_shared('orders', 'a', 2) is shared
-    assert not sharing.is_shared('stock', 'a', 2)
+    key_overlap = _sketches(range(200), far)
+    assert key_overlap.is_shared('orders', 'a', 2) is shared
+    assert not key_overlap.is_shared('stock', 'a', 2)
 
 
 def test_sketch_that_is_told_no_more_is_forgotten() -> None:
-    sharing = _sketches(range(200), range(200))
-    assert not sharing.is_shared('orders', 'a', 40)
-    assert not sharing.told['orders']
+    key_overlap = _sketches(range(200), range(200))
+    assert not key_overlap.is_shared('orders', 'a', 40)
+    assert not key_overlap.told['orders']
 
 
 def test_shared_keys_come_to_one_home_for_all_regions() -> None:
@@ -281,15 +281,17 @@
     for second in range(40):
         for one, region in ((entry, 'b'), (other, 'a')):
             one.ask(f'k{second % 4}')
-            hashes = one.state.sharing.sketch('orders', [], one.now)
-            one.state.sharing.take('z', region, 'orders', hashes, one.now)
+            hashes = one.state.key_overlap.sketch('orders', [], one.now)
+            one.state.key_overlap.set_sketch(
+                'z', region, 'orders', hashes, one.now
+            )
             one.tick(1.0)
     assert entry.homes() == other.homes()
 
 
 def test_digests_carry_the_keys_of_a_zone() -> None:
     world = World((route(),), (upstream('1'),))
-    told = ToldKeys('orders', (1, 2, 3))
+    told = KeySketch('orders', (1, 2, 3))
     world.run(
         DigestReceived(
             world.now, msgspec.structs.replace(digest('two'), keys=told)
@@ -302,8 +304,12 @@
             ),
         ),
     )
-    assert world.state.sharing.sketch('orders', ['two'], world.now) == (1, 2, 3)
-    assert world.state.sharing.is_shared('orders', 'a', world.now)
+    assert world.state.key_overlap.sketch('orders', ['two'], world.now) == (
+        1,
+        2,
+        3,
+    )
+    assert world.state.key_overlap.is_shared('orders', 'a', world.now)
 
 
 def test_entry_tells_the_keys_that_it_sees() -> None:
@@ -315,7 +321,9 @@
     ]
     (keys,) = {one for one in told if one.service}
     assert keys.service == 'orders'
-    assert keys.hashes == world.state.sharing.sketch('orders', [], world.now)
+    assert keys.hashes == world.state.key_overlap.sketch(
+        'orders', [], world.now
+    )
     assert len(keys.hashes) == 8
     # Most digests are spared it: what regions share hardly changes.
     assert sum(bool(one.service) for one in told) <= len(told) / 4
--- a/tests/steering/test_peer_news.py
+++ b/tests/steering/test_peer_news.py
@@ -14,13 +14,13 @@
 from worksrail.core.steering import (
     RoutingConfiguration,
     SteeringState,
-    StoreNews,
+    StoreUpdate,
 )
-from worksrail.core.steering.effects import FetchNews
+from worksrail.core.steering.effects import FetchStoreUpdate
 from worksrail.core.steering.events import (
     Event,
-    NewsFetched,
-    NewsMissed,
+    StoreUpdateFailed,
+    StoreUpdateFetched,
 )
 from worksrail.core.steering.kinds import StoreKind
 from worksrail.daemon.http._connections import ConnectionPool
@@ -85,7 +85,7 @@
     async def use(peer: str) -> Event:
         engine = RecordingEngine(World().state)
         client = NewsClient(engine, ConnectionPool(engine.now))
-        client.fetch(FetchNews(kind, peer, 0))
+        client.fetch(FetchStoreUpdate(kind, peer, 0))
         await asyncio.gather(*client.tasks)
         client.pool.close()
         return engine.events[0]
@@ -104,7 +104,7 @@
 @pytest.mark.parametrize('kind', StoreKind)
 def test_news_cross_real_sockets(kind: StoreKind) -> None:
     event = _fetch(_teller(), kind)
-    assert isinstance(event, NewsFetched)
+    assert isinstance(event, StoreUpdateFetched)
     assert event.kind is kind
     assert event.news.revision == 1
     names = {record.name for record in event.news.records}
@@ -117,23 +117,23 @@
 def test_configuration_is_the_same_after_its_way() -> None:
     handler = _teller()
     event = _fetch(handler, StoreKind.CONFIGURATION)
-    assert isinstance(event, NewsFetched)
+    assert isinstance(event, StoreUpdateFetched)
     assert event.news.configuration == handler.engine.state.configuration
 
 
 def test_what_makes_no_sense_is_missed() -> None:
-    assert isinstance(_fetch(Garbage(), StoreKind.UPSTREAMS), NewsMissed)
+    assert isinstance(_fetch(Garbage(), StoreKind.UPSTREAMS), StoreUpdateFailed)
 
 
 def test_entry_that_does_not_answer_is_missed() -> None:
     async def run() -> Event:
         engine = RecordingEngine(World().state)
         client = NewsClient(engine, ConnectionPool(engine.now))
-        client.fetch(FetchNews(StoreKind.UPSTREAMS, '127.0.0.1:1', 0))
+        client.fetch(FetchStoreUpdate(StoreKind.UPSTREAMS, '127.0.0.1:1', 0))
         await asyncio.gather(*client.tasks)
         return engine.events[0]
 
-    assert isinstance(asyncio.run(run()), NewsMissed)
+    assert isinstance(asyncio.run(run()), StoreUpdateFailed)
 
 
 @pytest.mark.parametrize(
@@ -163,5 +163,5 @@
         url = f'http://{peer}/news?kind=evacuations&since=0'
         return (await AsyncHTTPClient().fetch(url)).body
 
-    told = msgspec.msgpack.decode(_serve(_teller(), use), type=StoreNews)
-    assert told == StoreNews(1, complete=True)
+    told = msgspec.msgpack.decode(_serve(_teller(), use), type=StoreUpdate)
+    assert told == StoreUpdate(1, complete=True)
--- a/tests/steering/test_pulse.py
+++ b/tests/steering/test_pulse.py
@@ -4,18 +4,18 @@
 
 from tests.steering.fleet_world import FleetWorld
 from tests.steering.world import World, of_type
-from worksrail.core.steering._pulse import StorePulse
-from worksrail.core.steering.effects import AskStoreAnew, CheckStore
+from worksrail.core.steering._store_health import StoreHealth
+from worksrail.core.steering.effects import CheckStore, RestartStoreCalls
 from worksrail.core.steering.kinds import StoreKind
 
 
-def _pulse(*answers: float) -> StorePulse:
+def _pulse(*answers: float) -> StoreHealth:
     """The pulse of a reader: half a second after an answer it asks again."""
-    pulse = StorePulse(lapse_time=1.5)
+    store_health = StoreHealth(lapse_time=1.5)
     for at in answers:
-        pulse.take_answer(at)
-        pulse.note_asked(at + 0.5)
-    return pulse
+        store_health.record_own_answer(at)
+        store_health.record_call(at + 0.5)
+    return store_health
 
 
 @pytest.mark.parametrize(
@@ -44,18 +44,18 @@
 @pytest.mark.parametrize('way', [0.001, 0.02, 0.09])
 def test_what_goes_round_grows_old(way: float) -> None:
     # Told without rounding up, 8 s of silence looked like 1 s after 50 rounds.
-    one, two = _pulse(10), StorePulse(lapse_time=1.5)
+    one, two = _pulse(10), StoreHealth(lapse_time=1.5)
     now = 10.0
     while now < 18:
         for teller, hearer in ((one, two), (two, one)):
-            told = teller.told_age(now)
+            told = teller.advertised_age(now)
             now += way
             hearer.hear_age(told, now)
         now += 0.2
-    for pulse in (one, two):
-        assert pulse.answered_at <= 10
-        pulse.take_answer(18.5)
-        assert pulse.gap_ended_at == 18.5
+    for store_health in (one, two):
+        assert store_health.answered_at <= 10
+        store_health.record_own_answer(18.5)
+        assert store_health.gap_ended_at == 18.5
     assert one.returned_at == 18.5
 
 
@@ -84,17 +84,17 @@
 
 def test_failed_check_is_told_at_once() -> None:
     world = World(settle=1.2)
-    assert not world.state.lost
+    assert not world.state.failing_kinds
     assert _checks(world, 0.6, 'no answer') in {1, 2}
-    assert world.state.lost == set(StoreKind)
+    assert world.state.failing_kinds == set(StoreKind)
 
 
 def test_calls_that_wait_are_made_again_after_a_silence() -> None:
     world = World(settle=1.2)
     _checks(world, 3, 'no answer')
-    assert not of_type(world.effects, AskStoreAnew)
+    assert not of_type(world.effects, RestartStoreCalls)
     _checks(world, 3)
-    assert len(of_type(world.effects, AskStoreAnew)) == 1
+    assert len(of_type(world.effects, RestartStoreCalls)) == 1
 
 
 _REGIONS = {'a1': 'a', 'a2': 'a', 'b1': 'b'}
@@ -162,7 +162,7 @@
     for _ in range(200):
         world.wait(0.1)
         for state in world.states.values():
-            assert not state.catalog.pulse.keeps_missing(world.now)
+            assert not state.catalog.store_health.keeps_missing(world.now)
 
 
 def test_checks_grow_with_the_regions_not_with_the_entries() -> None:
--- a/tests/steering/test_reach.py
+++ b/tests/steering/test_reach.py
@@ -27,7 +27,7 @@
     """Ask until the dark zone is left alone; gives the silent attempts."""
     silent = 0
     for _ in range(100):
-        if world.state.reach.is_out('b1', world.now):
+        if world.state.reachability.is_excluded('b1', world.now):
             return silent
         silent += _ask(world)
     raise AssertionError('the zone is never left alone')
@@ -48,10 +48,10 @@
     world = _world()
     _until_out(world)
     world.wait(1.1)
-    assert not world.state.reach.is_out('b1', world.now)
+    assert not world.state.reachability.is_excluded('b1', world.now)
     assert _until_out(world) == 1
     world.wait(1.1)
-    assert world.state.reach.is_out('b1', world.now)
+    assert world.state.reachability.is_excluded('b1', world.now)
 
 
 def test_answer_brings_a_zone_back() -> None:
@@ -60,7 +60,7 @@
     world.wait(1.1)
     for _ in range(40):
         _ask(world, dark=False)
-    assert not world.state.reach.zones
+    assert not world.state.reachability.zones
 
 
 @pytest.mark.parametrize(
@@ -83,7 +83,7 @@
             world.end(number, outcome)
         while number in world.state.requests:
             world.end(number)
-    assert not world.state.reach.is_out('b1', world.now)
+    assert not world.state.reachability.is_excluded('b1', world.now)
 
 
 def test_zone_out_of_reach_is_better_than_nothing() -> None:
--- a/tests/steering/test_sums_of_repeats.py
+++ b/tests/steering/test_sums_of_repeats.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from worksrail.core.budgets import BudgetBounds, SharedBudgets, ToldUse
+from worksrail.core.budgets import BudgetBounds, BudgetUse, SharedBudgets
 from worksrail.core.identity import Incarnation
 
 _BOUNDS = BudgetBounds(ratio=0.2, window=10, extra=6)
@@ -51,7 +51,7 @@
 
     def _ask(self, now: float) -> None:
         here = self.both[now >= _MOVE]
-        here.note_request('s', now)
+        here.record_request('s', now)
         self.requests.append(now)
         wanted = any(begin <= now < end for begin, end in _WANTED)
         if wanted and here.spend('s', now):
@@ -59,12 +59,14 @@
 
     def _tell(self, now: float) -> None:
         first, second = self.both
-        told = first.tell(now)
-        first.take(Incarnation('second', 1), second.tell(now), now)
-        second.take(Incarnation('first', 1), told, now)
+        told = first.advertise(now)
+        first.receive(Incarnation('second', 1), second.advertise(now), now)
+        second.receive(Incarnation('first', 1), told, now)
         for one in self.both:
-            one.tend(now)
-        uses = [one.tell(now).used.get('s', ToldUse()) for one in self.both]
+            one.maintain(now)
+        uses = [
+            one.advertise(now).used.get('s', BudgetUse()) for one in self.both
+        ]
         reserved = sum(use.reserved for use in uses)
         sent = sum(now - _BOUNDS.window < at for at in self.repeats)
         self.unknown = max(self.unknown, sent - reserved)
@@ -91,7 +93,7 @@
 def test_what_was_sent_stays_in_the_sum(pause: float) -> None:
     both = tuple(SharedBudgets.begin(_BOUNDS, -inf, seed) for seed in (1, 2))
     for one in both:
-        one.join(2, 2)
+        one.set_fleet_size(2, 2)
     pair = _Pair((_MOVE + 1, _MOVE + 1 + pause), both)
     pair.play()
     assert pair.unknown <= 0
@@ -116,7 +118,7 @@
     for number in range(int(_END / _STEP)):
         now = number * _STEP
         if any(begin <= now < end for begin, end in spans):
-            alone.note_request('s', now)
+            alone.record_request('s', now)
             pair.requests.append(now)
             if now >= 28.0 and alone.spend('s', now):
                 pair.repeats.append(now)
--- a/tests/steering/test_watching.py
+++ b/tests/steering/test_watching.py
@@ -7,21 +7,27 @@
 from hypothesis import strategies as st
 
 from tests.steering.fleet_world import FleetWorld
-from tests.steering.world import World, be_away, contact, of_type, upstream
+from tests.steering.world import (
+    World,
+    contact,
+    of_type,
+    simulate_outage,
+    upstream,
+)
 from worksrail.core.steering import (
     Catalog,
     EntryDigest,
     RoutingConfiguration,
-    StoreNews,
-    news_since,
+    StoreUpdate,
+    store_update_since,
 )
-from worksrail.core.steering._news import Mirror
-from worksrail.core.steering.effects import FetchNews, FollowStore
+from worksrail.core.steering._store_sync import StoreSync
+from worksrail.core.steering.effects import FetchStoreUpdate, WatchStore
 from worksrail.core.steering.events import (
     DigestReceived,
-    NewsFetched,
-    NewsMissed,
     StoreLost,
+    StoreUpdateFailed,
+    StoreUpdateFetched,
     UpstreamsChanged,
 )
 from worksrail.core.steering.kinds import StoreKind
@@ -61,7 +67,7 @@
     world = FleetWorld({'a1': 9, 'a2': 9, 'b1': 9}, _REGIONS, loss)
     world.wait(5)
     reader = min(world.watchers())
-    world.tell_store(reader, 7, (upstream('u'),))
+    world.deliver_store(reader, 7, (upstream('u'),))
     world.wait(1.8)
     assert _versions(world) == {7}
     for state in world.states.values():
@@ -72,7 +78,7 @@
     world = FleetWorld({'a1': 5, 'b1': 5}, _REGIONS)
     world.wait(5)
     for name in world.watchers():
-        world.tell_store(name, 7)
+        world.deliver_store(name, 7)
     world.wait(0.6)
     assert _versions(world) == {7}
 
@@ -181,10 +187,10 @@
     assert _versions(world) == {7}
 
 
-def _hear_of_more(world: World, number: int) -> list[FetchNews]:
+def _hear_of_more(world: World, number: int) -> list[FetchStoreUpdate]:
     told = EntryDigest(contact('two', revisions=(9, 9, 9)), number, {}, ())
     world.run(DigestReceived(world.now, told))
-    return of_type(world.wait(0.05), FetchNews)
+    return of_type(world.wait(0.05), FetchStoreUpdate)
 
 
 def test_watcher_waits_for_its_own_watch_first() -> None:
@@ -209,9 +215,9 @@
     world = World(settle=1.2)
     for number in range(1, 15):
         _hear_of_more(world, number)
-    asked = of_type(world.effects, FetchNews)
+    asked = of_type(world.effects, FetchStoreUpdate)
     assert [one.kind for one in asked] == list(StoreKind)
-    world.run(NewsMissed(world.now, asked[0].kind, asked[0].peer))
+    world.run(StoreUpdateFailed(world.now, asked[0].kind, asked[0].peer))
     again = _hear_of_more(world, 15)
     assert [one.kind for one in again] == [asked[0].kind]
 
@@ -247,12 +253,12 @@
 ) -> None:
     world = World((), (upstream('1'), upstream('2')))
     for ago in answers:
-        world.state.catalog.pulse.hear(world.now - ago)
-    news = StoreNews(5, removed=('1',), store_age=age, store_return=returned)
-    world.run(NewsFetched(world.now, StoreKind.UPSTREAMS, 'p', news))
+        world.state.catalog.store_health.record_answer(world.now - ago)
+    news = StoreUpdate(5, removed=('1',), store_age=age, store_return=returned)
+    world.run(StoreUpdateFetched(world.now, StoreKind.UPSTREAMS, 'p', news))
     assert ('1' in world.state.catalog.upstreams) is kept
     for _ in range(22):
-        world.state.catalog.pulse.hear_age(0, world.now)
+        world.state.catalog.store_health.hear_age(0, world.now)
         world.wait(0.1)
     assert set(world.state.catalog.upstreams) == {'2'}
 
@@ -267,7 +273,7 @@
     known = (upstream('1'), upstream('2'))
     teller, follower = World((), known), World((), known)
     for world in (teller, follower):
-        be_away(world.state, 9, world.now)
+        simulate_outage(world.state, 9, world.now)
     teller.run(UpstreamsChanged(teller.now, (), ('1',), 5))
     _tell(teller, follower, since)
     assert set(follower.state.catalog.upstreams) == {'1', '2'}
@@ -286,7 +292,7 @@
 def test_entry_without_memory_learns_what_others_keep(since: int) -> None:
     teller, fresh = World((), (upstream('1'),)), World()
     for world in (teller, fresh):
-        be_away(world.state, 9, world.now)
+        simulate_outage(world.state, 9, world.now)
     teller.run(UpstreamsChanged(teller.now, (), ('1',), 5))
     _tell(teller, fresh, since)
     assert set(fresh.state.catalog.upstreams) == ({'1'} if not since else set())
@@ -295,8 +301,12 @@
 
 
 def _tell(teller: World, follower: World, since: int) -> None:
-    news = news_since(teller.state, StoreKind.UPSTREAMS, since, teller.now)
-    follower.run(NewsFetched(follower.now, StoreKind.UPSTREAMS, 'p', news))
+    news = store_update_since(
+        teller.state, StoreKind.UPSTREAMS, since, teller.now
+    )
+    follower.run(
+        StoreUpdateFetched(follower.now, StoreKind.UPSTREAMS, 'p', news)
+    )
 
 
 def test_entry_that_is_turned_away_takes_removals_from_others() -> None:
@@ -304,18 +314,18 @@
     for _ in range(10):
         for kind in StoreKind:
             world.run(StoreLost(world.now, kind, 'busy'))
-        world.state.catalog.pulse.hear_age(2, world.now)
+        world.state.catalog.store_health.hear_age(2, world.now)
         world.wait(0.5)
-    news = StoreNews(5, removed=('1',), store_age=2)
-    world.run(NewsFetched(world.now, StoreKind.UPSTREAMS, 'p', news))
+    news = StoreUpdate(5, removed=('1',), store_age=2)
+    world.run(StoreUpdateFetched(world.now, StoreKind.UPSTREAMS, 'p', news))
     assert set(world.state.catalog.upstreams) == {'2'}
 
 
 def test_older_configuration_of_another_entry_is_ignored() -> None:
     world = World()
     before = world.state.configuration
-    news = StoreNews(5, complete=True)
-    world.run(NewsFetched(world.now, StoreKind.CONFIGURATION, 'p', news))
+    news = StoreUpdate(5, complete=True)
+    world.run(StoreUpdateFetched(world.now, StoreKind.CONFIGURATION, 'p', news))
     assert world.state.configuration is before
 
 
@@ -324,23 +334,23 @@
     world = World((), (upstream('1'), upstream('2')))
     drained = upstream('1', draining=True, sequence=2)
     world.run(UpstreamsChanged(world.now, (drained,), (), 9))
-    news = StoreNews(8, records=(upstream('1'),), complete=True)
-    world.run(NewsFetched(world.now, StoreKind.UPSTREAMS, 'p', news))
+    news = StoreUpdate(8, records=(upstream('1'),), complete=True)
+    world.run(StoreUpdateFetched(world.now, StoreKind.UPSTREAMS, 'p', news))
     known = world.state.catalog.upstreams
     assert known['1'].record.draining
     assert set(known) == {'1', '2'}
-    assert news_since(world.state, StoreKind.UPSTREAMS, 8, 0).records == (
-        drained,
-    )
+    assert store_update_since(
+        world.state, StoreKind.UPSTREAMS, 8, 0
+    ).records == (drained,)
 
 
 def test_late_news_make_no_change_look_older() -> None:
-    mirror = Mirror()
-    mirror.note_changes(('1',), 9)
-    mirror.note_changes(('1',), 4)
+    store_sync = StoreSync()
+    store_sync.note_changes(('1',), 9)
+    store_sync.note_changes(('1',), 4)
     catalog = Catalog({'a1': 'a'})
     catalog.change((upstream('1'),), (), 0)
-    assert mirror.upstreams_since(catalog, 6).records == (upstream('1'),)
+    assert store_sync.upstreams_since(catalog, 6).records == (upstream('1'),)
 
 
 _CHANGES = st.lists(
@@ -353,7 +363,7 @@
     changes: Sequence[tuple[int, bool]], listed_at: int, since: int
 ) -> None:
     """Against the naive version: hand over everything each time."""
-    teller, mirror = Catalog({'a1': 'a'}), Mirror()
+    teller, store_sync = Catalog({'a1': 'a'}), StoreSync()
     follower = Catalog({'a1': 'a'})
     since = min(since, len(changes))
     for revision, (number, present) in enumerate(changes, 1):
@@ -361,12 +371,12 @@
         changed = (upstream(name, sequence=revision),) if present else ()
         removed = () if present else (name,)
         teller.change(changed, removed, 0)
-        mirror.note_changes((name,), revision)
+        store_sync.note_changes((name,), revision)
         if revision <= since:
             follower.change(changed, removed, 0)
         if revision == listed_at:
-            mirror.note_list(revision)
-    news = mirror.upstreams_since(teller, since)
+            store_sync.note_list(revision)
+    news = store_sync.upstreams_since(teller, since)
     if news.complete:
         follower.replace(news.records, 0)
     else:
@@ -378,5 +388,5 @@
 
 def test_only_changes_of_the_duty_are_effects() -> None:
     world = World(settle=1.2)
-    begun = of_type(world.effects, FollowStore)
-    assert begun == [FollowStore(True)]
+    begun = of_type(world.effects, WatchStore)
+    assert begun == [WatchStore(True)]
--- a/tests/steering/test_zones.py
+++ b/tests/steering/test_zones.py
@@ -5,7 +5,10 @@
 from tests.steering.fleet_world import FleetWorld
 from tests.steering.world import World, contact, of_type, zone_digest
 from worksrail.core.steering import EntryLimits, SteeringBounds
-from worksrail.core.steering._cold import most_in_a_second, sharers_of
+from worksrail.core.steering._cold_limits import (
+    cold_senders,
+    max_requests_per_second,
+)
 from worksrail.core.steering.effects import Decision
 from worksrail.core.steering.events import DigestReceived
 
@@ -66,16 +69,16 @@
 def test_zone_is_heard_on_when_its_speaker_dies() -> None:
     world = FleetWorld({'a1': 4, 'b1': 2}, _REGIONS)
     world.wait(5)
-    speaker = world.states['b1-0'].fleet.zones['a1'].digest.speaker.name
+    relay = world.states['b1-0'].fleet.zones['a1'].digest.relay.name
     others = {name for name in world.states if name.startswith('a1')}
-    others.discard(speaker)
+    others.discard(relay)
     for name in others:
         world.states[name].loads.of('u').own = 2
-    world.stop(speaker)
+    world.stop(relay)
     for _ in range(30):
         world.wait(0.1)
         assert others <= world.known('b1-1')
-    assert speaker not in world.known('b1-1')
+    assert relay not in world.known('b1-1')
     assert world.believed('b1-1', 'u') == 6
 
 
@@ -98,8 +101,8 @@
     limits |= {'a1-3': _LARGE, 'a1-6': _LARGE}
     world = FleetWorld({'a1': 8, 'b1': 1}, _REGIONS, limits=limits)
     world.wait(5)
-    speaker = world.states['b1-0'].fleet.zones['a1'].digest.speaker.name
-    assert speaker in {'a1-3', 'a1-6'}
+    relay = world.states['b1-0'].fleet.zones['a1'].digest.relay.name
+    assert relay in {'a1-3', 'a1-6'}
     assert world.watchers() == {'a1-3', 'a1-6', 'b1-0'}
 
 
@@ -107,10 +110,10 @@
     world = FleetWorld({'a1': 3, 'b1': 1}, _REGIONS)
     world.wait(5)
     zones = world.states['b1-0'].fleet.zones
-    speaker = zones['a1'].digest.speaker.name
-    world.states[speaker].leaving_at = world.now
+    relay = zones['a1'].digest.relay.name
+    world.states[relay].leaving_at = world.now
     world.wait(1)
-    assert zones['a1'].digest.speaker.name != speaker
+    assert zones['a1'].digest.relay.name != relay
 
 
 def test_zone_is_heard_on_while_entries_are_added_to_it() -> None:
@@ -206,9 +209,9 @@
 ) -> None:
     bounds = SteeringBounds(cold_factor=factor, cold_extra=extra)
     names = [f'entry-{number}' for number in range(entries)]
-    sharers = sharers_of('u', names, rate, bounds)
+    sharers = cold_senders('u', names, rate, bounds)
     assert sharers
-    most = most_in_a_second(rate, len(sharers))
+    most = max_requests_per_second(rate, len(sharers))
     assert most <= max(rate * factor + extra, rate + 1)
-    reordered = sharers_of('u', names[::-1], rate, bounds)
+    reordered = cold_senders('u', names[::-1], rate, bounds)
     assert set(reordered) == set(sharers)
--- a/tests/steering/world.py
+++ b/tests/steering/world.py
@@ -117,12 +117,12 @@
     )
 
 
-def be_away(state: SteeringState, seconds: float, now: float) -> None:
+def simulate_outage(state: SteeringState, seconds: float, now: float) -> None:
     """The store has just come back; an entry asked it in vain meanwhile."""
-    pulse = state.catalog.pulse
-    pulse.hear(now - seconds)
-    pulse.note_asked(now - seconds + 0.5)
-    pulse.take_answer(now)
+    store_health = state.catalog.store_health
+    store_health.record_answer(now - seconds)
+    store_health.record_call(now - seconds + 0.5)
+    store_health.record_own_answer(now)
 
 
 def contact(name: str, **changes: Any) -> Contact:
@@ -153,7 +153,7 @@
 
 
 def zone_digest(
-    speaker: str,
+    relay: str,
     members: Iterable[Contact],
     number: int = 1,
     in_flight: dict[str, int] | None = None,
@@ -161,7 +161,7 @@
     """What the speaker of a zone tells of its members."""
     named = tuple(members)
     return ZoneDigest(
-        Incarnation(speaker, 1), named[0].zone, number, named, in_flight or {}
+        Incarnation(relay, 1), named[0].zone, number, named, in_flight or {}
     )
 
 
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -3,13 +3,13 @@
 import pytest
 
 from worksrail.bench.world import Outcome, Traffic, World, WorldPlan
-from worksrail.core._dispatching import pump
+from worksrail.core._dispatching import dispatch_waiting
 from worksrail.core.bundle import Bundle, parse_bundle
 from worksrail.core.effects import AnswerResult, SendUpstream
 from worksrail.core.events import PassEnded
 from worksrail.core.quarantine import Crash
 from worksrail.core.reducer import reduce
-from worksrail.core.requests import RequestHead, Waiting
+from worksrail.core.requests import QueuedRequest, RequestHead
 from worksrail.core.requests.active import ActiveRequest, RequestState
 from worksrail.core.results import ResultCode
 from worksrail.core.settings import CoreSettings
@@ -168,11 +168,11 @@
     )
     active.state, active.fingerprint = RequestState.WAITING, 7
     instance.requests[active.number] = active
-    instance.service_state('orders').queue.put(Waiting(999, now + 2))
+    instance.service_state('orders').queue.put(QueuedRequest(999, now + 2))
     for number in range(_PROOFS):
         crash = Crash(str(number), instance.quarantine.begin(7, now))
-        instance.quarantine.note_crash(7, crash, now)
-    effects = list(pump(instance, 'orders', now))
+        instance.quarantine.record_crash(7, crash, now)
+    effects = list(dispatch_waiting(instance, 'orders', now))
     (answer,) = (one for one in effects if isinstance(one, AnswerResult))
     assert answer.code is ResultCode.REQUEST_HELD
     assert not [one for one in effects if isinstance(one, SendUpstream)]
--- a/tests/test_mutations.py
+++ b/tests/test_mutations.py
@@ -87,12 +87,12 @@
         'seats are added and taken away under load',
     ),
     'a paused process goes on as before': (
-        _set(_on_time, 'wake_after_pause', _nothing),
+        _set(_on_time, 'rejoin_after_pause', _nothing),
         'a holder paused for longer than its lease does nothing as holder',
     ),
     'a seat is claimed without waiting': (
         _set(
-            _seats.SeatKeeper,
+            _seats.SeatManager,
             '_pursued',
             lambda self, record, view: self._claimed(record),
         ),
@@ -113,7 +113,7 @@
     'an older generation is applied': (
         lambda patch: (
             patch.setattr(Configuration, 'apply', _any_generation),
-            patch.setattr(Configuration, 'judge', _fetch_anything),
+            patch.setattr(Configuration, 'evaluate_head', _fetch_anything),
         )[0],
         'a store restored to an older state takes nobody back',
     ),
@@ -145,7 +145,7 @@
         'a planned stop cuts nothing and hands its seat on',
     ),
     'seats are not handed on': (
-        _set(_on_time, '_hand_on_seats', _nothing),
+        _set(_on_time, '_transfer_seats', _nothing),
         'a region is replaced one by one while the store is down',
     ),
     'isolation goes unnoticed': (
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -7,13 +7,13 @@
 from worksrail.core.limits import Members
 from worksrail.core.pacing import (
     ALL_REGIONS,
+    AdvertisedLimit,
     NamedLimit,
     NamedLimits,
     NoRate,
     Pacer,
     Permission,
     TokenShare,
-    ToldLimit,
 )
 from worksrail.core.pacing._stock import TokenStock
 
@@ -57,21 +57,21 @@
 @pytest.mark.parametrize(
     ('heard', 'told', 'rate'),
     [
-        (None, ToldLimit('u', 5, 0), 5),
-        (None, ToldLimit('u', None, 0), None),
-        (_named(5, 8), ToldLimit('u', 7, 0), 7),
-        (_named(5, 8), ToldLimit('u', None, 0), None),
-        (_named(5, 10), ToldLimit('u', 7, 20), 5),
-        (_named(5, 10), ToldLimit('u', None, 20), 5),
+        (None, AdvertisedLimit('u', 5, 0), 5),
+        (None, AdvertisedLimit('u', None, 0), None),
+        (_named(5, 8), AdvertisedLimit('u', 7, 0), 7),
+        (_named(5, 8), AdvertisedLimit('u', None, 0), None),
+        (_named(5, 10), AdvertisedLimit('u', 7, 20), 5),
+        (_named(5, 10), AdvertisedLimit('u', None, 20), 5),
         # About as old: the stricter one.
-        (_named(5, 10), ToldLimit('u', 3, 1), 3),
-        (_named(5, 10), ToldLimit('u', 7, 1), 5),
-        (_named(5, 10), ToldLimit('u', None, 1), 5),
+        (_named(5, 10), AdvertisedLimit('u', 3, 1), 3),
+        (_named(5, 10), AdvertisedLimit('u', 7, 1), 5),
+        (_named(5, 10), AdvertisedLimit('u', None, 1), 5),
     ],
 )
 def test_newer_or_stricter_word_counts(
     heard: NamedLimit | None,
-    told: ToldLimit,
+    told: AdvertisedLimit,
     rate: float | None,
 ) -> None:
     limits = NamedLimits()
@@ -106,7 +106,7 @@
     told = [
         one
         for turn in range(5)
-        for one in limits.to_tell(_TOLD_MOST, 2 + turn * 0.2, with_all=False)
+        for one in limits.advertise(_TOLD_MOST, 2 + turn * 0.2, with_all=False)
     ]
     assert {one.upstream for one in told} == set(names)
     assert {one.rate for one in told} == {None if ended else 5}
@@ -118,7 +118,7 @@
         for number in range(395):
             rate = 5 + (turn * 7 + number) % 20
             limits.note(f'u{number}', _named(rate, turn * 0.1))
-        told = limits.to_tell(_TOLD_MOST, turn * 0.1, with_all=True)
+        told = limits.advertise(_TOLD_MOST, turn * 0.1, with_all=True)
         assert len(told) == _TOLD_MOST
 
 
@@ -149,7 +149,7 @@
     for step in range(1000):
         now = 100 + step * 0.01
         if pacer.obtain('u', now) is Permission.GRANTED:
-            pacer.note_sent('u', now)
+            pacer.record_sent('u', now)
             got += 1
     assert 0.9 * 50 <= got <= 50 + 3
 
@@ -163,7 +163,7 @@
         pacer.limits.note(name, _named(5, 0))
     for name in names:
         pacer.obtain(name, 50)
-    requests = list(pacer.ask(50))
+    requests = list(pacer.make_requests(50))
     assert requests
     for addressed in requests:
         for now in (60, 70):
@@ -178,9 +178,9 @@
         pacer.limits.note(name, _named(50, 0))
         other.limits.note(name, _named(50, 0))
         pacer.obtain(name, 50)
-    (addressed,) = pacer.ask(50)
-    assert pacer.give_up(51)
-    assert not pacer.take(other.serve(addressed.request, 51), 51)
+    (addressed,) = pacer.make_requests(50)
+    assert pacer.expire_requests(51)
+    assert not pacer.receive_grant(other.serve(addressed.request, 51), 51)
     assert not any(stock.tokens for stock in pacer.stocks.values())
 
 
@@ -199,9 +199,9 @@
 def _ask(user: Pacer, issuer: Pacer, now: float) -> int:
     """One round between them; gives the tokens that are returned."""
     returned = 0
-    for addressed in user.ask(now):
+    for addressed in user.make_requests(now):
         returned += sum(addressed.request.unused.values())
-        user.take(issuer.serve(addressed.request, now), now)
+        user.receive_grant(issuer.serve(addressed.request, now), now)
     return returned
 
 
@@ -225,6 +225,6 @@
     for _ in range(200):
         now += 0.02
         if user.obtain(upstream, now) is Permission.GRANTED:
-            user.note_sent(upstream, now)
+            user.record_sent(upstream, now)
         _ask(user, issuer, now)
     assert user.stocks[upstream].tokens > 1
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -22,13 +22,13 @@
     settings = CoreSettings()
     ledger = PermitLedger(settings.loan_duration, settings.longest_run)
     ledger.configure(1, [PoolSpec(_POOL, _GROUP, 4, 2)])
-    ledger.settle(1)
+    ledger.drop_splits_before(1)
     return Lending(settings, ledger)
 
 
 def _asked(lending: Lending) -> int:
-    lending.note_shortage(_GROUP, 1)
-    (ask,) = lending.ask(_GROUP, [Lender(_LENDER, 2)], now=0)
+    lending.set_shortage(_GROUP, 1)
+    (ask,) = lending.request_loan(_GROUP, [Lender(_LENDER, 2)], now=0)
     return ask.message.loan
 
 
@@ -76,7 +76,7 @@
     settings = CoreSettings()
     ledger = PermitLedger(settings.loan_duration, settings.longest_run)
     ledger.configure(1, [PoolSpec(_POOL, _GROUP, 4, 1)])
-    ledger.settle(1)
+    ledger.drop_splits_before(1)
     ledger.hold_seats([0])
     loan = LoanId(_LENDER, 1)
     ledger.lend(loan, _GROUP, 3, now=0)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from worksrail.core.quarantine import Crash, Quarantine, ToldCrashes
+from worksrail.core.quarantine import AdvertisedCrashes, Crash, Quarantine
 
 _REQUEST = 7
 _HELD = 2.0
@@ -19,7 +19,7 @@
 ) -> int:
     """An upstream crashes under a request that was sent just before."""
     number = quarantine.begin(request, now - 0.1)
-    return quarantine.note_crash(request, Crash(upstream, number), now)
+    return quarantine.record_crash(request, Crash(upstream, number), now)
 
 
 def _held_since(now: float) -> Quarantine:
@@ -29,8 +29,10 @@
     return quarantine
 
 
-def _tell(teller: Quarantine, now: float, most: int = 4) -> list[ToldCrashes]:
-    return list(teller.to_tell(most, now, random.Random(1)))
+def _tell(
+    teller: Quarantine, now: float, most: int = 4
+) -> list[AdvertisedCrashes]:
+    return list(teller.advertise(most, now, random.Random(1)))
 
 
 def test_third_crash_in_a_row_holds_a_request() -> None:
@@ -47,29 +49,29 @@
     numbers = [quarantine.begin(_REQUEST, 0) for _ in range(9)]
     for upstream, number in enumerate(numbers):
         crash = Crash(f'i-{upstream}', number)
-        assert quarantine.note_crash(_REQUEST, crash, 1) == 1
+        assert quarantine.record_crash(_REQUEST, crash, 1) == 1
 
 
 # When the upstream answered anything last, and whether its second crash counts.
-@pytest.mark.parametrize(('well_at', 'count'), [(0.5, 1), (1.5, 2)])
+@pytest.mark.parametrize(('last_success_at', 'count'), [(0.5, 1), (1.5, 2)])
 def test_upstream_counts_again_only_if_it_was_well_in_between(
-    well_at: float,
+    last_success_at: float,
     count: int,
 ) -> None:
     quarantine = Quarantine()
     _crash(quarantine, 'i-1', 1)
     number = quarantine.begin(_REQUEST, 1.9)
-    crash = Crash('i-1', number, well_at)
-    assert quarantine.note_crash(_REQUEST, crash, 2) == count
+    crash = Crash('i-1', number, last_success_at)
+    assert quarantine.record_crash(_REQUEST, crash, 2) == count
 
 
 @pytest.mark.parametrize('told', [False, True])
 def test_answer_clears_a_request_here_and_elsewhere(*, told: bool) -> None:
     quarantine, other = _held_since(0), _held_since(0)
-    assert quarantine.note_answer(_REQUEST, 1) == 3
+    assert quarantine.record_response(_REQUEST, 1) == 3
     if told:
         for news in _tell(quarantine, 1.1):
-            other.take(news, 1.2)
+            other.receive(news, 1.2)
     assert not quarantine.hold_time(_REQUEST, 1.3)
     assert bool(other.hold_time(_REQUEST, 1.3)) is not told
 
@@ -77,8 +79,8 @@
 def test_old_news_does_not_hold_a_request_that_was_answered() -> None:
     quarantine = _held_since(0)
     news = _tell(quarantine, 0.1)
-    quarantine.note_answer(_REQUEST, 1)
-    assert not any(quarantine.take(one, 1.1) for one in news)
+    quarantine.record_response(_REQUEST, 1)
+    assert not any(quarantine.receive(one, 1.1) for one in news)
     assert not quarantine.hold_time(_REQUEST, 1.1)
 
 
@@ -100,7 +102,7 @@
     quarantine, other = _held_since(0), _held_since(0)
     number = quarantine.begin(_REQUEST, _HELD)
     for news in _tell(quarantine, _HELD + 0.1):
-        other.take(news, _HELD + 0.2)
+        other.receive(news, _HELD + 0.2)
     assert other.hold_time(_REQUEST, _HELD + 0.2) > 0
     assert not quarantine.hold_time(_REQUEST, _HELD + 0.2, number)
 
@@ -120,7 +122,7 @@
     teller, fresh = _held_since(0), Quarantine()
     _crash(teller, 'i-4', 3)
     for news in _tell(teller, 20):
-        fresh.take(news, 20)
+        fresh.receive(news, 20)
     assert fresh.hold_time(_REQUEST, 20) == pytest.approx(13, abs=0.1)
 
 
@@ -132,13 +134,13 @@
     assert quarantine.records[_REQUEST].held
     told = _tell(quarantine, 3)
     assert _REQUEST in {one.fingerprint for one in told}
-    largest = ToldCrashes(2**64 - 1, 3, 20, 2**32 - 1)
+    largest = AdvertisedCrashes(2**64 - 1, 3, 20, 2**32 - 1)
     assert len(msgspec.msgpack.encode(largest)) <= 20
     assert len(told) == 4
 
 
 def test_nothing_is_told_where_nothing_crashes() -> None:
-    assert not Quarantine().to_tell(4, 1, random.Random(1))
+    assert not Quarantine().advertise(4, 1, random.Random(1))
 
 
 @pytest.mark.parametrize(('with_held', 'told'), [(True, 1), (False, 0)])
@@ -148,7 +150,7 @@
     told: int,
 ) -> None:
     quarantine = _held_since(0)
-    news = quarantine.to_tell(4, 5, random.Random(1), with_held=with_held)
+    news = quarantine.advertise(4, 5, random.Random(1), with_held=with_held)
     assert len(news) == told
 
 
@@ -156,7 +158,7 @@
 # counts for the request.  The upstream crashed at 10 s.
 @pytest.mark.parametrize('told', [False, True])
 @pytest.mark.parametrize(
-    ('well_at', 'sent_at', 'counts'),
+    ('last_success_at', 'sent_at', 'counts'),
     [
         (9.0, 9.5, True),
         (9.0, 11.0, False),
@@ -164,7 +166,7 @@
     ],
 )
 def test_upstream_that_is_still_away_says_nothing_of_a_request(
-    well_at: float,
+    last_success_at: float,
     sent_at: float,
     *,
     told: bool,
@@ -173,13 +175,13 @@
     quarantine = Quarantine()
     if told:
         other = Quarantine()
-        other.note_crash(1, Crash('u', 1, 9.0, 9.9), 10.0)
-        for one in other.to_tell(4, 10.0, random.Random(1)):
-            quarantine.take(one, 10.0)
+        other.record_crash(1, Crash('u', 1, 9.0, 9.9), 10.0)
+        for one in other.advertise(4, 10.0, random.Random(1)):
+            quarantine.receive(one, 10.0)
     else:
-        quarantine.note_crash(1, Crash('u', 1, 9.0, 9.9), 10.0)
-    crash = Crash('u', 1, well_at, sent_at)
-    assert quarantine.note_crash(2, crash, 11.1) == int(counts)
+        quarantine.record_crash(1, Crash('u', 1, 9.0, 9.9), 10.0)
+    crash = Crash('u', 1, last_success_at, sent_at)
+    assert quarantine.record_crash(2, crash, 11.1) == int(counts)
 
 
 def test_answers_are_told_as_often_as_crashes() -> None:
@@ -188,7 +190,7 @@
         for number in range(3):
             _crash(quarantine, f'i-{number}', 1 + number * 0.1, request)
     for request in range(10):
-        quarantine.note_answer(request, 2.0)
+        quarantine.record_response(request, 2.0)
     told = [one for _ in range(7) for one in _tell(quarantine, 2.0)]
     assert {one.fingerprint for one in told} == set(range(20))
 
@@ -198,10 +200,11 @@
 ):
     quarantine = _held_since(1.0)
     (claim,) = _tell(quarantine, 1.0)
-    quarantine.note_answer(_REQUEST, 2.0)
+    quarantine.record_response(_REQUEST, 2.0)
     assert not _tell(quarantine, 10.0)
-    assert not quarantine.take(
-        ToldCrashes(claim.fingerprint, claim.count, 90, claim.upstream), 10.0
+    assert not quarantine.receive(
+        AdvertisedCrashes(claim.fingerprint, claim.count, 90, claim.upstream),
+        10.0,
     )
     (answer,) = _tell(quarantine, 10.0)
     assert not answer.count
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -11,14 +11,14 @@
 import pytest
 
 from tests.retrying import REGIONS, SERVICE, RetryingWorld
-from worksrail.core._retrying import told_code
+from worksrail.core._retrying import reported_code
 from worksrail.core.events import CallerGone
 from worksrail.core.reducer import reduce
 from worksrail.core.requests import (
-    Passing,
+    ArrivalPath,
+    QueuedRequest,
     RequestHead,
     RetryBudget,
-    Waiting,
 )
 from worksrail.core.requests.active import ActiveRequest, RequestState
 from worksrail.core.results import ResultCode
@@ -250,10 +250,10 @@
     instance, now = fleet.world.live()[0].instance, fleet.world.clock.now
     head = RequestHead('t', 'orders.example', 'GET', '/', '')
     active = ActiveRequest(1, head, SERVICE, 'north', now + 2, idempotent=True)
-    active.state, active.failed_with = RequestState.EARNING, _SHED
+    active.state, active.failed_with = RequestState.WAITING_FOR_BUDGET, _SHED
     instance.requests[active.number] = active
     retries = instance.service_state(SERVICE).retries
-    retries.put(Waiting(active.number, now + 1))
+    retries.put(QueuedRequest(active.number, now + 1))
     reduce(instance, CallerGone(now, active.number))
     assert not instance.requests
     assert retries.pop() is None
@@ -263,7 +263,7 @@
     budget = RetryBudget(1)
     budget.follow(seats, each)
     for now in range(10):
-        budget.earn(now)
+        budget.record_success(now)
     assert budget.tokens == each * len(seats)
     return budget
 
@@ -294,17 +294,17 @@
 @pytest.mark.parametrize(
     ('passing', 'failed_with', 'code', 'told'),
     [
-        (Passing.SHIFTED, _SHED, ResultCode.NO_SLOT, _SHED),
-        (Passing.SHIFTED, None, ResultCode.NO_SLOT, ResultCode.NO_SLOT),
-        (Passing.DIRECT, _SHED, ResultCode.NO_SLOT, ResultCode.NO_SLOT),
+        (ArrivalPath.SHIFTED, _SHED, ResultCode.NO_SLOT, _SHED),
+        (ArrivalPath.SHIFTED, None, ResultCode.NO_SLOT, ResultCode.NO_SLOT),
+        (ArrivalPath.DIRECT, _SHED, ResultCode.NO_SLOT, ResultCode.NO_SLOT),
         (
-            Passing.SHIFTED,
+            ArrivalPath.SHIFTED,
             _SHED,
             ResultCode.REQUEST_HELD,
             ResultCode.REQUEST_HELD,
         ),
         (
-            Passing.SHIFTED,
+            ArrivalPath.SHIFTED,
             _SHED,
             ResultCode.UPSTREAM_BROKE,
             ResultCode.UPSTREAM_BROKE,
@@ -312,7 +312,7 @@
     ],
 )
 def test_whoever_passed_a_request_on_hears_that_an_upstream_had_it(
-    passing: Passing,
+    passing: ArrivalPath,
     failed_with: ResultCode | None,
     code: ResultCode,
     told: ResultCode,
@@ -320,7 +320,7 @@
     head = RequestHead('t', 'orders.example', 'GET', '/', '', passing=passing)
     active = ActiveRequest(1, head, SERVICE, 'north', 3, idempotent=True)
     active.failed_with = failed_with
-    assert told_code(active, code) is told
+    assert reported_code(active, code) is told
 
 
 def _hand_on(
@@ -346,7 +346,7 @@
         budget = budgets[chosen]
         budget.follow(holders[chosen], 2)
         if now % 400 < 200:
-            budget.earn(now)
+            budget.record_success(now)
             current -= budget.ratio
         else:
             current += budget.spend()
--- a/worksrail/bench/limits/_play.py
+++ b/worksrail/bench/limits/_play.py
@@ -11,7 +11,7 @@
 from worksrail.bench.limits._plan import Asking, FaultKind, Plan
 from worksrail.bench.limits._ways import Way
 from worksrail.core.customers import Quota
-from worksrail.core.limits import SharedLimit, TokenBucket, limit_of
+from worksrail.core.limits import SharedLimit, TokenBucket, quota_limit
 
 _TICK: Final = 0.1
 # Seconds after which entries notice that another one has gone or is back.
@@ -108,7 +108,7 @@
                     self.plan.bounds.window,
                     partial(self._bind, customer.name, quota),
                 )
-            limits[customer.name] = limit_of(quota, self.plan.bounds)
+            limits[customer.name] = quota_limit(quota, self.plan.bounds)
         self.way.follow(limits)
 
     def _bind(self, customer: str, quota: Quota) -> None:
--- a/worksrail/bench/limits/_ways.py
+++ b/worksrail/bench/limits/_ways.py
@@ -207,7 +207,7 @@
             if entry in self.network.away:
                 heard = {str(entry): str(entry)}
             members = Members(heard, self.network.entries)
-            self.states[entry].join(members, self.network.now)
+            self.states[entry].update_members(members, self.network.now)
             self._run(entry)
 
     def restart(self, entry: int) -> None:
--- a/worksrail/bench/world/_checks.py
+++ b/worksrail/bench/world/_checks.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-from worksrail.core.bundle import ServiceView, ShiftCap
+from worksrail.core.bundle import CompiledService, ShiftCap
 
 _SECOND: Final = 1.0
 # Entries count by windows that are longer by the slack of a start.
@@ -71,7 +71,7 @@
         self,
         now: float,
         pair: _Pair,
-        view: ServiceView,
+        view: CompiledService,
         caps_before: ShiftCap | None = None,
     ) -> None:
         """Check a request that starts away from home."""
--- a/worksrail/bench/world/_runner.py
+++ b/worksrail/bench/world/_runner.py
@@ -29,7 +29,7 @@
     WriteOutcome,
 )
 from worksrail.core.messages import AnyMessage
-from worksrail.core.requests import Passing, RequestHead
+from worksrail.core.requests import ArrivalPath, RequestHead
 from worksrail.core.results import ResultCode
 
 _WRITE_DELAY: Final = 0.0005
@@ -267,7 +267,9 @@
             )
             return
         active = process.instance.requests[effect.request]
-        passing = Passing.TO_OWNER if effect.to_owner else Passing.SHIFTED
+        passing = (
+            ArrivalPath.TO_OWNER if effect.to_owner else ArrivalPath.SHIFTED
+        )
         head = RequestHead(
             active.head.trace,
             active.head.host,
--- a/worksrail/core/_admission.py
+++ b/worksrail/core/_admission.py
@@ -8,9 +8,9 @@
 from worksrail.core.instance import Instance
 from worksrail.core.messages import MemberRecord
 from worksrail.core.requests import (
+    ArrivalPath,
     KeyState,
     NoTicket,
-    Passing,
     RequestHead,
     Ticket,
     TicketFault,
@@ -23,7 +23,7 @@
 _KEY_REFUSALS: Final = {
     KeyState.IN_PROGRESS: ResultCode.KEY_IN_PROGRESS,
     KeyState.EXECUTED: ResultCode.ALREADY_RUN,
-    KeyState.NO_ROOM: ResultCode.KEY_MEMORY_FULL,
+    KeyState.FULL: ResultCode.KEY_MEMORY_FULL,
 }
 
 
@@ -53,7 +53,7 @@
     if allowed <= 0:
         return ResultCode.DEADLINE_EXPIRED
     own_region = instance.place.region
-    home = head.home or topology.region_of_client(head.client, own_region)
+    home = head.home or topology.region_of_caller(head.client, own_region)
     return ActiveRequest(
         event.request,
         head,
@@ -71,12 +71,12 @@
     head: RequestHead,
 ) -> CustomerName | ResultCode:
     """Name of the caller's customer; empty where callers need no key."""
-    if head.passing is not Passing.DIRECT:
+    if head.passing is not ArrivalPath.DIRECT:
         # The instance that took it from the caller has seen the key.
         return head.customer
     if topology.customers is None:
         return ''
-    holder = topology.customers.holder_of(head.key_digest)
+    holder = topology.customers.find_by_key(head.key_digest)
     if isinstance(holder, Customer):
         return holder.name
     return '' if service.public else ResultCode.UNKNOWN_KEY
@@ -97,7 +97,7 @@
 ) -> MemberRecord | ResultCode | None:
     """Who alone may run the request, if it is another instance."""
     head = active.head
-    if active.idempotent or head.passing is Passing.SHIFTED:
+    if active.idempotent or head.passing is ArrivalPath.SHIFTED:
         return None
     if isinstance(head.ticket, NoTicket):
         return ResultCode.KEY_WITHOUT_TICKET if head.key else None
@@ -109,7 +109,7 @@
         return refusal
     if ticket.owner == instance.who:
         return _claim_key(instance, active)
-    if head.passing is Passing.TO_OWNER:
+    if head.passing is ArrivalPath.TO_OWNER:
         return ResultCode.TICKET_OWNER_GONE
     return _live_owner(instance, ticket, now)
 
--- a/worksrail/core/_arriving.py
+++ b/worksrail/core/_arriving.py
@@ -19,7 +19,7 @@
 )
 from worksrail.core.messages import MemberStatus
 from worksrail.core.pacing import ALL_REGIONS
-from worksrail.core.requests import Passing
+from worksrail.core.requests import ArrivalPath
 from worksrail.core.requests.active import ActiveRequest, RequestState
 from worksrail.core.results import ResultCode
 
@@ -33,17 +33,17 @@
         return
     instance.requests[active.number] = active
     active.fingerprint = fingerprint_of(instance, active, event)
-    if not active.customer or active.head.passing is not Passing.DIRECT:
+    if not active.customer or active.head.passing is not ArrivalPath.DIRECT:
         yield from begin(instance, active, event.now)
         return
     verdict = instance.limits.admit(
         quota_name(active.customer), active.number, event.now
     )
     if verdict.admission is Admission.WAITING:
-        active.state = RequestState.ASKING
+        active.state = RequestState.WAITING_FOR_QUOTA
     else:
         yield from _go_on(instance, active, verdict, event.now)
-    yield from follow_limits(instance, event.now)
+    yield from process_limit_outputs(instance, event.now)
 
 
 def on_limit_message(
@@ -53,28 +53,28 @@
 ) -> Iterator[Effect]:
     """Take in what another instance tells of a shared limit."""
     instance.limits.receive(message, now)
-    yield from follow_limits(instance, now)
+    yield from process_limit_outputs(instance, now)
 
 
-def tend_limits(instance: Instance, now: float) -> Iterator[Effect]:
+def maintain_limits(instance: Instance, now: float) -> Iterator[Effect]:
     """Report what was admitted, and take in who lives."""
     if not instance.limits.limits:
         return
     if instance.status(now) is not MemberStatus.JOINING:
         members = members_by_region(instance, now)[ALL_REGIONS]
-        instance.limits.join(members, now)
+        instance.limits.update_members(members, now)
     instance.limits.tick(now)
-    yield from follow_limits(instance, now)
+    yield from process_limit_outputs(instance, now)
 
 
-def follow_limits(instance: Instance, now: float) -> Iterator[Effect]:
+def process_limit_outputs(instance: Instance, now: float) -> Iterator[Effect]:
     """Send what the limits have to tell, and go on with what waited."""
     for output in instance.limits.take_outputs():
         if isinstance(output, Addressed):
             yield SendMessage(output.peer, output.message)
             continue
         active = instance.requests.get(output.ticket)
-        if active and active.state is RequestState.ASKING:
+        if active and active.state is RequestState.WAITING_FOR_QUOTA:
             yield from _go_on(instance, active, output.verdict, now)
 
 
--- a/worksrail/core/_borrowing.py
+++ b/worksrail/core/_borrowing.py
@@ -5,7 +5,7 @@
 from worksrail.core.effects import Effect, SendMessage
 from worksrail.core.instance import Instance
 from worksrail.core.messages import MemberRecord, MemberStatus
-from worksrail.core.permits import Addressed, GroupKey, Lender, slot_group
+from worksrail.core.permits import GroupKey, Lender, LoanMessage, slot_group
 
 
 def borrow_all(instance: Instance, now: float) -> Iterator[Effect]:
@@ -14,7 +14,7 @@
         yield from borrow(instance, group, now)
         if not group.startswith('slots'):
             # Shifted requests do not wait: the need ends with the refusal.
-            instance.lending.note_shortage(group, 0)
+            instance.lending.set_shortage(group, 0)
 
 
 def borrow(
@@ -33,11 +33,11 @@
             now, instance.settings, instance.place.region
         )
     ]
-    for ask in instance.lending.ask(group, lenders, now):
+    for ask in instance.lending.request_loan(group, lenders, now):
         yield sent(ask)
 
 
-def sent(addressed: Addressed) -> SendMessage:
+def sent(addressed: LoanMessage) -> SendMessage:
     """Effect that sends a message of the lending protocol."""
     return SendMessage(addressed.receiver.name, addressed.message)
 
--- a/worksrail/core/_dispatching.py
+++ b/worksrail/core/_dispatching.py
@@ -21,15 +21,15 @@
 )
 from worksrail.core._tokens import (
     TOKEN_PATIENCE,
+    delay_until_token,
     expects_token,
-    pause_until_token,
     send_token_requests,
 )
 from worksrail.core.effects import Effect, Note, NoteKind, PassRequest
 from worksrail.core.instance import Instance
 from worksrail.core.messages import MemberRecord
 from worksrail.core.permits import slot_group
-from worksrail.core.requests import Passing, Waiting
+from worksrail.core.requests import ArrivalPath, QueuedRequest
 from worksrail.core.requests.active import ActiveRequest, RequestState
 from worksrail.core.results import ResultCode
 
@@ -68,7 +68,9 @@
     yield from finish(instance, active, placement, now)
 
 
-def pump(instance: Instance, service: str, now: float) -> Iterator[Effect]:
+def dispatch_waiting(
+    instance: Instance, service: str, now: float
+) -> Iterator[Effect]:
     """Send waiting requests as far as there are retries and permits."""
     yield from _pump_retries(instance, service, now)
     queue = instance.service_state(service).queue
@@ -84,9 +86,9 @@
         elif placement in _NOT_NOW:
             yield from _refuse(instance, active, placement, now)
         else:
-            queue.put_back(waiting)
+            queue.put_first(waiting)
             break
-    instance.lending.note_shortage(slot_group(service), len(queue))
+    instance.lending.set_shortage(slot_group(service), len(queue))
 
 
 def give_up_retries(
@@ -155,7 +157,7 @@
         active.tried_regions.add(target.place.region)
         yield from pass_on(instance, active, target)
         return
-    wait = pause_until_token(instance, active.service, now)
+    wait = delay_until_token(instance, active.service, now)
     yield from finish(instance, active, ResultCode.UPSTREAMS_LIMITED, now, wait)
 
 
@@ -167,7 +169,7 @@
     state = instance.service_state(service)
     if not state.retries.entries:
         return
-    if not instance.retry_budget(service).has_one:
+    if not instance.retry_budget(service).has_retry:
         return
     waiting = state.retries.pop()
     if waiting:
@@ -216,13 +218,13 @@
     share: float,
 ) -> bool:
     home = active.home == instance.place.region
-    if not home or active.head.passing is Passing.SHIFTED:
+    if not home or active.head.passing is ArrivalPath.SHIFTED:
         return False
     state = instance.service_state(active.service)
     group = instance.ledger.groups.get(slot_group(active.service))
     if group is None or len(state.queue) >= instance.settings.queue_limit:
         return False
-    wait = state.queue.expected_wait(state.typical, group.usable)
+    wait = state.queue.expected_wait(state.typical_latency, group.usable)
     patience = _patience(instance, active, now)
     return wait <= patience * share
 
@@ -233,7 +235,9 @@
         return 0
     service = topology.services[active.service].service
     state = instance.service_state(active.service)
-    return min(service.queue_wait, active.deadline - now - state.typical)
+    return min(
+        service.queue_wait, active.deadline - now - state.typical_latency
+    )
 
 
 def _wait(
@@ -245,9 +249,9 @@
     state = instance.service_state(active.service)
     active.state = RequestState.WAITING
     give_up_at = now + min(longest, _patience(instance, active, now))
-    state.queue.put(Waiting(active.number, give_up_at))
+    state.queue.put(QueuedRequest(active.number, give_up_at))
     group = slot_group(active.service)
-    instance.lending.note_shortage(group, len(state.queue))
+    instance.lending.set_shortage(group, len(state.queue))
     yield from borrow(instance, group, now)
 
 
@@ -263,8 +267,8 @@
     if held or not is_earned_within(instance, active, patience, now):
         yield from _refuse(instance, active, code, now)
         return
-    active.state = RequestState.EARNING
-    waiting = Waiting(active.number, now + patience)
+    active.state = RequestState.WAITING_FOR_BUDGET
+    waiting = QueuedRequest(active.number, now + patience)
     instance.service_state(active.service).retries.put(waiting)
 
 
@@ -273,7 +277,7 @@
     active: ActiveRequest,
     now: float,
 ) -> MemberRecord | None:
-    if active.head.passing is Passing.SHIFTED or active.caller_gone:
+    if active.head.passing is ArrivalPath.SHIFTED or active.caller_gone:
         return None
     if active.attempts >= instance.settings.attempt_limit:
         return None
--- a/worksrail/core/_finishing.py
+++ b/worksrail/core/_finishing.py
@@ -4,7 +4,7 @@
 from typing import Final
 
 from worksrail.core._placing import retry_after
-from worksrail.core._retrying import told_code
+from worksrail.core._retrying import reported_code
 from worksrail.core.effects import AnswerResult, Effect, Note, NoteKind
 from worksrail.core.instance import Instance
 from worksrail.core.limits import quota_name
@@ -25,8 +25,8 @@
 
     *Not run* is only said if it is true of every attempt that was made.
     """
-    code = told_code(active, code)
-    if active.maybe_run and code.certainty is Certainty.NOT_RUN:
+    code = reported_code(active, code)
+    if active.maybe_executed and code.certainty is Certainty.NOT_RUN:
         code = ResultCode.UPSTREAM_BROKE
     executed = code.certainty is not Certainty.NOT_RUN
     if active.admitted and not executed:
@@ -63,13 +63,13 @@
     """Forget a request; its key, if it claimed one, is settled."""
     instance.requests.pop(active.number, None)
     if active.claimed_key:
-        instance.memory.settle(active.claimed_key, executed=executed)
+        instance.memory.finish(active.claimed_key, executed=executed)
 
 
 def _other_entry(instance: Instance, now: float) -> str:
-    near = instance.membership.open_for_work(
+    near = instance.membership.accepting_work(
         now, instance.settings, instance.place.region
     )
-    far = instance.membership.open_for_work(now, instance.settings)
+    far = instance.membership.accepting_work(now, instance.settings)
     records = (*near, *far)
     return records[0].endpoints.caller if records else ''
--- a/worksrail/core/_on_configuration.py
+++ b/worksrail/core/_on_configuration.py
@@ -17,7 +17,7 @@
     HeadSeen,
 )
 from worksrail.core.instance import Instance, LeaveState
-from worksrail.core.limits import QuotaBounds, limits_of
+from worksrail.core.limits import QuotaBounds, quota_limits
 from worksrail.core.messages import AnyMessage, DrainNews, HeadNews
 from worksrail.core.permits import PoolKey
 from worksrail.core.settings import CoreSettings
@@ -38,7 +38,7 @@
     """Fetch a newer bundle and tell others; ignore an older head loudly."""
     configuration = instance.configuration
     known = configuration.wanted
-    verdict = configuration.judge(generation, digest, now)
+    verdict = configuration.evaluate_head(generation, digest, now)
     if verdict is HeadVerdict.FETCH:
         yield _fetch(instance, now)
         if generation > known:
@@ -68,7 +68,7 @@
     )
     table = topology.customers
     customers = table.customers.values() if table else ()
-    instance.limits.follow(limits_of(customers, QuotaBounds()), event.now)
+    instance.limits.follow(quota_limits(customers, QuotaBounds()), event.now)
     region = topology.regions.get(instance.place.region)
     instance.seats.wanted_seats = region.seats if region else 0
     old = set(before.upstreams) if before else set(topology.upstreams)
@@ -152,15 +152,15 @@
         if key not in instance.ledger.pools or key not in topology.upstreams:
             instance.attention.discard(key)
             continue
-        ceiling = _ceiling(instance, key, now)
+        max_in_use = _ceiling(instance, key, now)
         _, upstream = topology.upstreams[key]
         if topology.is_drained(upstream, drains):
             # It comes back cold.
             instance.upstream_health(key).cold_since = now
-            ceiling = 0
-        elif ceiling is None:
+            max_in_use = 0
+        elif max_in_use is None:
             instance.attention.discard(key)
-        instance.ledger.limit_pool(key, ceiling)
+        instance.ledger.set_max_in_use(key, max_in_use)
         instance.ledger.refresh_pool(key, now)
 
 
@@ -181,11 +181,11 @@
     may_eject = _may_eject(
         instance.settings, state.ejected, len(view.regional[region.name])
     )
-    if health.is_suspicious(state.typical) and not health.ejected_until:
+    if health.is_outlier(state.typical_latency) and not health.ejected_until:
         if may_eject:
             health.eject(now, instance.settings)
             state.ejected += 1
-    return health.ceiling(
+    return health.max_in_use(
         upstream.slots, region.seats, view.service.slow_start, now
     )
 
--- a/worksrail/core/_on_messages.py
+++ b/worksrail/core/_on_messages.py
@@ -3,11 +3,11 @@
 from collections.abc import Iterator
 
 from worksrail.core._arriving import on_limit_message
-from worksrail.core._dispatching import pump
+from worksrail.core._dispatching import dispatch_waiting
 from worksrail.core._on_configuration import judge_head, take_drains
 from worksrail.core._on_time import follow_seats
-from worksrail.core._pacing import hear_of_limits, take_pacing_message
-from worksrail.core._quarantining import hear_of_crashes
+from worksrail.core._pacing import receive_named_limits, take_pacing_message
+from worksrail.core._quarantining import receive_crashes
 from worksrail.core.effects import Effect, Note, NoteKind, SendMessage
 from worksrail.core.events import MessageReceived
 from worksrail.core.instance import Instance
@@ -47,7 +47,7 @@
         case SeatOffer():
             yield from _on_seat_offer(instance, event, message)
         case SeatTaken():
-            instance.seats.on_taken(message)
+            instance.seats.on_offer_accepted(message)
         case LimitReport() | LimitReply() | LimitHandover():
             yield from on_limit_message(instance, message, now)
         case _:
@@ -60,7 +60,7 @@
     now: float,
 ) -> Iterator[Effect]:
     known = set(instance.membership.members)
-    for record in instance.membership.hear(message, now):
+    for record in instance.membership.merge_heartbeat(message, now):
         if record.who.name not in known:
             yield Note(NoteKind.MEMBER_SEEN, record.who.label)
         if record.status is MemberStatus.LEFT:
@@ -70,8 +70,8 @@
                 instance, record.generation, record.digest, now
             )
         yield from _catch_up_drains(instance, record)
-    yield from hear_of_crashes(instance, message.crashes, now)
-    yield from hear_of_limits(instance, message.limits, now)
+    yield from receive_crashes(instance, message.crashes, now)
+    yield from receive_named_limits(instance, message.limits, now)
 
 
 def _on_permission(
@@ -92,7 +92,7 @@
 ) -> Iterator[Effect]:
     yield from take_pacing_message(instance, message, now)
     for service in tuple(instance.services):
-        yield from pump(instance, service, now)
+        yield from dispatch_waiting(instance, service, now)
 
 
 def _catch_up_drains(
@@ -153,7 +153,7 @@
         case LoanReturn():
             loan = LoanId(sender, message.loan)
             lent = instance.ledger.lent.get(loan)
-            instance.ledger.take_back(loan, message.keeps, now)
+            instance.ledger.apply_return(loan, message.kept_parts, now)
             if lent:
                 yield from _pump_group(instance, lent.group, now)
 
@@ -165,4 +165,4 @@
 ) -> Iterator[Effect]:
     kind, _, service = group.partition('/')
     if kind == 'slots' and service in instance.services:
-        yield from pump(instance, service, now)
+        yield from dispatch_waiting(instance, service, now)
--- a/worksrail/core/_on_requests.py
+++ b/worksrail/core/_on_requests.py
@@ -4,7 +4,7 @@
 from typing import Final
 
 from worksrail.core._admission import ticket_owner
-from worksrail.core._dispatching import pass_on, place, pump
+from worksrail.core._dispatching import dispatch_waiting, pass_on, place
 from worksrail.core._finishing import close, finish
 from worksrail.core._pacing import learn_limit
 from worksrail.core._placing import hold_until, release_all
@@ -70,7 +70,7 @@
     state = instance.service_state(active.service)
     queues = {
         RequestState.WAITING: state.queue,
-        RequestState.EARNING: state.retries,
+        RequestState.WAITING_FOR_BUDGET: state.retries,
     }
     queue = queues.get(active.state)
     if queue is not None:
@@ -97,7 +97,7 @@
     else:
         yield Note(NoteKind.REQUEST_ENDED, event.outcome.name, active.number)
         close(instance, active, executed=True)
-    yield from pump(instance, active.service, event.now)
+    yield from dispatch_waiting(instance, active.service, event.now)
 
 
 def on_pass_ended(instance: Instance, event: PassEnded) -> Iterator[Effect]:
@@ -114,9 +114,7 @@
         close(instance, active, executed=True)
         return
     if event.code is ResultCode.PEER_UNREACHABLE:
-        instance.membership.distrust(
-            active.passed_to, event.now, _DISTRUST_TIME
-        )
+        instance.membership.avoid(active.passed_to, event.now, _DISTRUST_TIME)
     if event.code is ResultCode.REQUEST_HELD:
         yield from finish(
             instance, active, event.code, event.now, event.retry_after
@@ -128,11 +126,11 @@
         and not active.to_owner
         and _has_room_for_more(instance, active, event)
     )
-    active.last_refusal = event.retry_after
+    active.peer_retry_after = event.retry_after
     if event.code in MAYBE_SENT:
         active.failed_with = event.code
     if event.code.certainty is not Certainty.NOT_RUN:
-        active.maybe_run = True
+        active.maybe_executed = True
     if again:
         active.state = RequestState.NEW
         yield from place(instance, active, event.now)
@@ -164,22 +162,22 @@
     health = instance.upstream_health(active.upstream)
     state = instance.service_state(active.service)
     if event.load is not None:
-        health.note_report(event.load, event.now)
+        health.record_report(event.load, event.now)
     if event.outcome is AttemptOutcome.CANCELLED:
         return
-    health.last_used_at = event.now
+    health.last_answer_at = event.now
     if event.outcome is AttemptOutcome.ANSWERED:
-        instance.retry_budget(active.service).earn(event.now)
+        instance.retry_budget(active.service).record_success(event.now)
     if event.outcome is AttemptOutcome.ANSWERED and not event.failed:
         taken = event.now - active.sent_at
         health.latency.add(taken)
         state.latency.add(taken)
         health.failures = 0
-        health.well_at = event.now
+        health.last_success_at = event.now
         health.trial = False
     else:
         health.failures += 1
-    if health.trial or health.is_suspicious(state.typical):
+    if health.trial or health.is_outlier(state.typical_latency):
         instance.attention.add(active.upstream)
 
 
@@ -192,7 +190,7 @@
     broke = event.outcome is AttemptOutcome.BROKE_BEFORE_ANSWER
     may_repeat = certain or (broke and active.idempotent)
     if not certain:
-        active.maybe_run = True
+        active.maybe_executed = True
     code = _FINAL_CODES[event.outcome]
     if code in MAYBE_SENT:
         active.failed_with = code
--- a/worksrail/core/_on_time.py
+++ b/worksrail/core/_on_time.py
@@ -4,19 +4,19 @@
 from collections.abc import Iterable, Iterator
 from typing import Final
 
-from worksrail.core._arriving import tend_limits
+from worksrail.core._arriving import maintain_limits
 from worksrail.core._borrowing import borrow_all, sent
 from worksrail.core._dispatching import (
+    dispatch_waiting,
     give_up_retries,
     give_up_waiting,
-    pump,
 )
 from worksrail.core._on_configuration import (
     cached_answers_end,
     refresh_ceilings,
     retry_fetch,
 )
-from worksrail.core._pacing import limits_to_tell, tend_pacing
+from worksrail.core._pacing import limits_to_tell, maintain_pacing
 from worksrail.core._quarantining import crashes_to_tell
 from worksrail.core.effects import (
     BecomeIncarnation,
@@ -62,8 +62,8 @@
 
 
 def _tend_rates(instance: Instance, now: float) -> Iterator[Effect]:
-    yield from tend_limits(instance, now)
-    yield from tend_pacing(instance, now)
+    yield from maintain_limits(instance, now)
+    yield from maintain_pacing(instance, now)
 
 
 def _slow_duties(instance: Instance, now: float) -> Iterator[Effect]:
@@ -74,7 +74,7 @@
         yield from _slow_round(instance, now)
 
 
-def wake_after_pause(instance: Instance, now: float) -> Iterator[Effect]:
+def rejoin_after_pause(instance: Instance, now: float) -> Iterator[Effect]:
     """Rejoin as a new incarnation that holds nothing.
 
     Whatever was held may have been claimed by others meanwhile, so nothing
@@ -84,15 +84,15 @@
     yield Note(NoteKind.PAUSED, instance.who.label)
     instance.who = who
     instance.membership.own = who
-    instance.membership.heard_any_at = now
+    instance.membership.last_contact_at = now
     instance.seats.own = who
     instance.seats.started_at = now
-    instance.seats.drop_all()
+    instance.seats.drop_all_seats()
     instance.seats.unheld_since.clear()
     instance.started_at = now
     instance.resting = False
     _forget_shares(instance, now)
-    for answer in instance.lending.abandon(now):
+    for answer in instance.lending.return_all_loans(now):
         yield sent(answer)
     yield from follow_seats(instance)
     yield BecomeIncarnation(who)
@@ -100,8 +100,8 @@
 
 
 def _forget_shares(instance: Instance, now: float) -> None:
-    instance.limits.note_pause(now)
-    instance.pacer.note_pause()
+    instance.limits.handle_pause(now)
+    instance.pacer.handle_pause()
 
 
 def on_instance_list(
@@ -174,7 +174,7 @@
             yield from give_up_retries(instance, service, now)
         if state.queue.entries:
             yield from give_up_waiting(instance, service, now)
-            yield from pump(instance, service, now)
+            yield from dispatch_waiting(instance, service, now)
 
 
 # -- heartbeats, seats, shares
@@ -203,7 +203,7 @@
 def _offers(instance: Instance, now: float) -> Iterator[Effect]:
     view = instance.seat_view(now)
     keeper = instance.seats
-    keeper.drop_hopeless_offers(view)
+    keeper.drop_stale_offers(view)
     if instance.status(now) is MemberStatus.READY:
         surplus = keeper.surplus_receiver(view)
         if surplus:
@@ -240,7 +240,7 @@
 ) -> Iterator[Effect]:
     for lost in instance.seats.on_table(table, version, now):
         yield Note(NoteKind.SEAT_LOST, str(lost))
-    for gained in instance.seats.hold_recorded():
+    for gained in instance.seats.adopt_recorded_seats():
         yield Note(NoteKind.SEAT_HELD, str(gained))
     yield from follow_seats(instance)
 
@@ -268,9 +268,9 @@
         for member in instance.membership.members.values()
         if member.record.place.region == instance.place.region
         and member.record.status is not MemberStatus.LEFT
-        and now - member.heard_at < instance.settings.reclaim_after
+        and now - member.received_at < instance.settings.reclaim_after
     ]
-    instance.ledger.settle(min((instance.settled, *others)))
+    instance.ledger.drop_splits_before(min((instance.settled, *others)))
 
 
 # -- isolation
@@ -278,7 +278,7 @@
 
 def _follow_isolation(instance: Instance, now: float) -> Iterator[Effect]:
     contact = max(
-        instance.membership.heard_any_at,
+        instance.membership.last_contact_at,
         instance.store_contact_at,
         instance.started_at,
     )
@@ -298,7 +298,7 @@
     claim = 2 * instance.settings.reclaim_after
     away = now - instance.isolated_since
     if away >= claim - instance.settings.pause_limit:
-        yield from wake_after_pause(instance, now)
+        yield from rejoin_after_pause(instance, now)
     else:
         instance.resting = False
         yield from follow_seats(instance)
@@ -313,10 +313,10 @@
         return
     if instance.requests:
         return
-    instance.lending.recall_everything()
-    for answer in instance.lending.abandon(now):
+    instance.lending.mark_all_recalled()
+    for answer in instance.lending.return_all_loans(now):
         yield sent(answer)
-    yield from _hand_on_seats(instance, now)
+    yield from _transfer_seats(instance, now)
     if not _is_empty_handed(instance, now):
         return
     leaving.done = True
@@ -326,7 +326,7 @@
         yield ExitProcess()
 
 
-def _hand_on_seats(instance: Instance, now: float) -> Iterator[Effect]:
+def _transfer_seats(instance: Instance, now: float) -> Iterator[Effect]:
     successor = instance.seats.successor(instance.seat_view(now))
     if successor and instance.seats.held and not instance.seats.offers:
         instance.seats.offer(min(instance.seats.held), successor)
--- a/worksrail/core/_pacing.py
+++ b/worksrail/core/_pacing.py
@@ -10,12 +10,12 @@
 from worksrail.core.instance import Instance
 from worksrail.core.messages import MemberStatus
 from worksrail.core.pacing import (
+    AdvertisedLimit,
     LimitChange,
     NoRate,
     PacingMessage,
     TokenRequest,
-    ToldLimit,
-    hear_limits,
+    receive_limits,
 )
 from worksrail.core.requests.active import ActiveRequest
 
@@ -40,21 +40,23 @@
         yield _note(change)
 
 
-def hear_of_limits(
+def receive_named_limits(
     instance: Instance,
-    told: Iterable[ToldLimit],
+    told: Iterable[AdvertisedLimit],
     now: float,
 ) -> Iterator[Note]:
     """Take in what another instance tells of limits that upstreams name."""
     topology = instance.configuration.topology
     known = topology.upstreams if topology else {}
-    for change in hear_limits(instance.pacer, told, known, now):
+    for change in receive_limits(instance.pacer, told, known, now):
         yield _note(change)
 
 
-def limits_to_tell(instance: Instance, now: float) -> tuple[ToldLimit, ...]:
+def limits_to_tell(
+    instance: Instance, now: float
+) -> tuple[AdvertisedLimit, ...]:
     """What a heartbeat tells of limits that upstreams name."""
-    return instance.pacer.limits.to_tell(
+    return instance.pacer.limits.advertise(
         _NAMED_LIMITS_LIMIT, now, with_all=True
     )
 
@@ -65,24 +67,24 @@
     now: float,
 ) -> Iterator[Note | SendMessage]:
     """Issue tokens, or take in those that another instance issued."""
-    yield from hear_of_limits(instance, message.limits, now)
+    yield from receive_named_limits(instance, message.limits, now)
     if isinstance(message, TokenRequest):
         yield SendMessage(message.peer, instance.pacer.serve(message, now))
     else:
-        instance.pacer.take(message, now)
+        instance.pacer.receive_grant(message, now)
 
 
-def tend_pacing(instance: Instance, now: float) -> Iterator[SendMessage]:
+def maintain_pacing(instance: Instance, now: float) -> Iterator[SendMessage]:
     """Follow who issues tokens; ask, return, and give up on who is silent."""
     pacer = instance.pacer
     if not pacer.has_limits:
         return
     topology = instance.configuration.topology
     joined = instance.status(now) is not MemberStatus.JOINING
-    if topology and joined and pacer.is_look_due(now):
+    if topology and joined and pacer.is_group_update_due(now):
         pacer.forget(topology.upstreams, now)
         pacer.follow(members_by_region(instance, now), now)
-    pacer.give_up(now)
+    pacer.expire_requests(now)
     yield from send_token_requests(instance, now)
 
 
--- a/worksrail/core/_placing.py
+++ b/worksrail/core/_placing.py
@@ -6,7 +6,7 @@
 from typing import Final
 
 from worksrail.core._tokens import MOST_ASKED, has_token
-from worksrail.core.bundle import ServiceView, Topology
+from worksrail.core.bundle import CompiledService, Topology
 from worksrail.core.effects import Effect, Note, NoteKind, SendUpstream
 from worksrail.core.identity import RegionName
 from worksrail.core.instance import Instance, TimedRelease
@@ -86,7 +86,7 @@
     active.attempts += 1
     active.upstream = placement.upstream
     active.sent_at = now
-    instance.pacer.note_sent(placement.upstream, now)
+    instance.pacer.record_sent(placement.upstream, now)
     active.crash_number = instance.quarantine.begin(active.fingerprint, now)
     active.holds = tuple(hold for hold in placement.holds if not _is_rate(hold))
     _hold_for_a_second(instance, placement.holds, now)
@@ -144,7 +144,7 @@
     state = instance.service_state(service)
     group = instance.ledger.groups.get(slot_group(service))
     servers = group.usable if group else 0
-    wait = state.queue.expected_wait(state.typical, servers)
+    wait = state.queue.expected_wait(state.typical_latency, servers)
     base = min(_LONGEST_RETRY, max(_SHORTEST_RETRY, wait))
     return round(base * instance.rng.uniform(*_RETRY_SPREAD), 2)
 
@@ -171,7 +171,7 @@
     # What the other entries use is known from their heartbeats, a little
     # late; the bound above holds in any case.
     use = instance.region_use.get(active.service, 0) + group.in_use + 1
-    slots = topology.open_slots(
+    slots = topology.undrained_slots(
         active.service, region.name, instance.configuration.drains
     )
     if use > int(slots * open_share):
@@ -182,7 +182,7 @@
 def _cap_holds(
     instance: Instance,
     active: ActiveRequest,
-    view: ServiceView,
+    view: CompiledService,
     now: float,
 ) -> tuple[Hold, ...] | ResultCode:
     cap = view.caps.get((active.home, instance.place.region))
@@ -194,12 +194,12 @@
     for kind in (PoolKind.RATE, PoolKind.FLIGHT):
         key = cap_pool(kind, active.service, active.home)
         hold = instance.ledger.take(key, now)
-        instance.lending.note_use(cap_group(key))
+        instance.lending.record_use(cap_group(key))
         if isinstance(hold, NoPermit):
             release_all(instance, tuple(taken), now)
-            instance.lending.note_shortage(cap_group(key), 1)
+            instance.lending.set_shortage(cap_group(key), 1)
             return ResultCode.CAP_REACHED
-        instance.lending.note_shortage(cap_group(key), 0)
+        instance.lending.set_shortage(cap_group(key), 0)
         taken.append(hold)
     return tuple(taken)
 
@@ -226,7 +226,7 @@
     group = instance.ledger.groups.get(slot_group(active.service))
     if group is None:
         return NoPermit.UNKNOWN_POOL
-    typical = instance.service_state(active.service).typical
+    typical = instance.service_state(active.service).typical_latency
     drawn = [
         key
         for key in group.available.draw(instance.rng, _draws(instance, group))
@@ -242,7 +242,7 @@
             continue
         hold = instance.ledger.take(key, now)
         if isinstance(hold, Hold):
-            instance.lending.note_use(group.key)
+            instance.lending.record_use(group.key)
             return hold
     if group.pools and all(map(instance.pacer.is_limited, group.pools)):
         return NoPermit.RATE_LIMITED
@@ -299,7 +299,7 @@
 ) -> MemberRecord | None:
     candidates = [
         (spare.slots, instance.rng.random(), record)
-        for record in instance.membership.open_for_work(
+        for record in instance.membership.accepting_work(
             now, instance.settings, region
         )
         for spare in record.spares
--- a/worksrail/core/_quarantining.py
+++ b/worksrail/core/_quarantining.py
@@ -8,9 +8,9 @@
 from worksrail.core.instance import Instance
 from worksrail.core.quarantine import (
     CRASHES_UNTIL_HELD,
+    AdvertisedCrashes,
     Crash,
     Fingerprint,
-    ToldCrashes,
     fingerprint,
     label,
 )
@@ -52,16 +52,16 @@
 ) -> Iterator[Note]:
     """Take in what the end of an attempt says of the request itself."""
     if event.outcome is AttemptOutcome.ANSWERED:
-        if instance.quarantine.note_answer(active.fingerprint, event.now):
+        if instance.quarantine.record_response(active.fingerprint, event.now):
             yield _note(NoteKind.QUARANTINE_CLEARED, active)
     elif event.outcome in _BROKEN and active.upstream is not None:
         crash = Crash(
             str(active.upstream),
             active.crash_number,
-            instance.upstream_health(active.upstream).well_at,
+            instance.upstream_health(active.upstream).last_success_at,
             active.sent_at,
         )
-        crashes = instance.quarantine.note_crash(
+        crashes = instance.quarantine.record_crash(
             active.fingerprint, crash, event.now
         )
         active.crash_number = 0
@@ -73,19 +73,19 @@
 def crashes_to_tell(
     instance: Instance,
     now: float,
-) -> tuple[ToldCrashes, ...]:
+) -> tuple[AdvertisedCrashes, ...]:
     """What a heartbeat tells of requests that crash upstreams."""
-    return instance.quarantine.to_tell(_CRASHES_LIMIT, now, instance.rng)
+    return instance.quarantine.advertise(_CRASHES_LIMIT, now, instance.rng)
 
 
-def hear_of_crashes(
+def receive_crashes(
     instance: Instance,
-    crashes: Iterable[ToldCrashes],
+    crashes: Iterable[AdvertisedCrashes],
     now: float,
 ) -> Iterator[Note]:
     """Take in what another instance tells of them."""
     for told in crashes:
-        if instance.quarantine.take(told, now):
+        if instance.quarantine.receive(told, now):
             yield Note(NoteKind.QUARANTINED, label(told.fingerprint))
 
 
--- a/worksrail/core/_retrying.py
+++ b/worksrail/core/_retrying.py
@@ -3,7 +3,7 @@
 from typing import Final
 
 from worksrail.core.instance import Instance
-from worksrail.core.requests import Passing
+from worksrail.core.requests import ArrivalPath
 from worksrail.core.requests.active import ActiveRequest
 from worksrail.core.results import ResultCode
 
@@ -24,7 +24,7 @@
     """Whether it is sent for the first time, or the budget allows it."""
     if active.failed_with is None:
         return True
-    return instance.retry_budget(active.service).has_one
+    return instance.retry_budget(active.service).has_retry
 
 
 def pay(instance: Instance, active: ActiveRequest) -> None:
@@ -48,13 +48,13 @@
     return budget.expected_wait(ahead, now) <= patience
 
 
-def told_code(active: ActiveRequest, code: ResultCode) -> ResultCode:
+def reported_code(active: ActiveRequest, code: ResultCode) -> ResultCode:
     """The end that whoever passed it on is told.
 
     That an upstream has had it must not be hidden by a later refusal: sending
     it once more would be a retry that nobody pays for.
     """
-    shifted = active.head.passing is Passing.SHIFTED
+    shifted = active.head.passing is ArrivalPath.SHIFTED
     if not shifted or code in MAYBE_SENT or code is ResultCode.REQUEST_HELD:
         return code
     return active.failed_with or code
--- a/worksrail/core/_tokens.py
+++ b/worksrail/core/_tokens.py
@@ -28,7 +28,7 @@
         return pacer.permission(upstream, now) is Permission.GRANTED
     permission = pacer.obtain(upstream, now)
     if permission is Permission.DENIED:
-        pacer.want(upstream)
+        pacer.add_demand(upstream)
     return permission is Permission.GRANTED
 
 
@@ -42,11 +42,11 @@
     now: float,
 ) -> Iterator[SendMessage]:
     """Ask for the tokens that are wanted, and return those not used."""
-    for addressed in instance.pacer.ask(now):
+    for addressed in instance.pacer.make_requests(now):
         yield SendMessage(addressed.peer, addressed.request)
 
 
-def pause_until_token(instance: Instance, service: str, now: float) -> float:
+def delay_until_token(instance: Instance, service: str, now: float) -> float:
     """Seconds until a token is expected at any upstream of a service."""
     group = instance.ledger.groups.get(slot_group(service))
     keys = group.available.keys if group else ()
--- a/worksrail/core/budgets/__init__.py
+++ b/worksrail/core/budgets/__init__.py
@@ -10,24 +10,24 @@
     Account,
     Accounts,
 )
+from worksrail.core.budgets._advertised import AdvertisedBudgets, BudgetUse
 from worksrail.core.budgets._budget import (
     BudgetBounds,
     Others,
     SharedBudget,
 )
 from worksrail.core.budgets._shared import FleetUse, SharedBudgets
-from worksrail.core.budgets._told import ToldBudgets, ToldUse
 
 __all__ = (
     'NEWS_TIME',
     'TRAVEL_TIME',
     'Account',
     'Accounts',
+    'AdvertisedBudgets',
     'BudgetBounds',
+    'BudgetUse',
     'FleetUse',
     'Others',
     'SharedBudget',
     'SharedBudgets',
-    'ToldBudgets',
-    'ToldUse',
 )
--- a/worksrail/core/budgets/_accounts.py
+++ b/worksrail/core/budgets/_accounts.py
@@ -6,14 +6,14 @@
 from math import ceil
 from typing import Final
 
-from worksrail.core.budgets._counts import TOLD_PARTS
-from worksrail.core.budgets._told import (
+from worksrail.core.budgets._advertised import (
     REQUEST_PARTS,
+    AdvertisedBudgets,
+    BudgetUse,
     Sum,
-    ToldBudgets,
-    ToldUse,
     total,
 )
+from worksrail.core.budgets._sliding_count import TOLD_PARTS
 from worksrail.core.identity import Incarnation, ServiceName
 
 # Seconds within which news of an instance reaches all others, as a rule: a
@@ -23,7 +23,7 @@
 _GONE_AFTER: Final = 2.0
 # Seconds that a repeat may take to its upstream.
 TRAVEL_TIME: Final = 0.3
-_NOTHING: Final = ToldUse()
+_NOTHING: Final = BudgetUse()
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +36,7 @@
     by_wanting: float
     """Repeats besides for each of them, if it wants more."""
 
-    def unheard(self, use: ToldUse) -> float:
+    def unheard(self, use: BudgetUse) -> float:
         """What a teller may have reserved since it told its use."""
         return use.load * self.by_load + use.wanting * self.by_wanting
 
@@ -50,10 +50,10 @@
 class Account:
     """What one teller said last."""
 
-    told: ToldBudgets
+    told: AdvertisedBudgets
     """Its words."""
 
-    heard_at: float
+    received_at: float
     """When they came."""
 
     who: Incarnation = _NOBODY
@@ -70,19 +70,19 @@
 
     def is_silent(self, now: float, limit: float = NEWS_TIME) -> bool:
         """Whether nothing was heard of it for some time."""
-        return self.replaced or now - self.heard_at > limit
+        return self.replaced or now - self.received_at > limit
 
     def covered(self, now: float) -> float:
         """Seconds for which it has known who else uses the budgets."""
-        return self.told.covered + now - self.heard_at
+        return self.told.covered + now - self.received_at
 
-    def use(self, service: ServiceName, window: float, now: float) -> ToldUse:
+    def use(self, service: ServiceName, window: float, now: float) -> BudgetUse:
         """What it uses of a budget by now, as far as that is known.
 
         A silent one may have sent what it had reserved just afterwards.
         """
         use = self.told.used.get(service, _NOTHING)
-        age = now - self.heard_at
+        age = now - self.received_at
         if not self.is_silent(now):
             return use
         # Parts that lie in the window in part count as sent, not as come.
@@ -91,7 +91,7 @@
         later = ceil(TOLD_PARTS * age / window)
         came = (*repeat(0, later), *use.came)[:REQUEST_PARTS]
         unheard = self.rooms.get(service, _NO_ROOM).unheard(use)
-        return ToldUse(
+        return BudgetUse(
             came,
             use.reserved - sent + unheard,
         )
@@ -102,8 +102,8 @@
     """What all other instances use, by who tells of it.
 
     >>> accounts = Accounts(window=10)
-    >>> told = ToldBudgets(9, {'orders': ToldUse(reserved=3)})
-    >>> accounts.take('one', Account(told, heard_at=0))
+    >>> told = AdvertisedBudgets(9, {'orders': BudgetUse(reserved=3)})
+    >>> accounts.take('one', Account(told, received_at=0))
     >>> accounts.use('orders', now=0.1).reserved
     3
     """
@@ -121,7 +121,7 @@
         name, does not replace what that one said.  While that is fresh, and not
         of an earlier life, it is one that has not met its zone yet.
         """
-        now = account.heard_at
+        now = account.received_at
         known = self.by_teller.get(teller)
         if known and self._knows_more(known, account):
             if not known.is_silent(now, _GONE_AFTER):
@@ -135,7 +135,7 @@
         """Drop what cannot matter any more."""
         longest = max(self.window, NEWS_TIME) + TRAVEL_TIME
         for teller, account in tuple(self.by_teller.items()):
-            if now - account.heard_at > longest:
+            if now - account.received_at > longest:
                 self.by_teller.pop(teller)
 
     def services(self) -> set[ServiceName]:
@@ -148,7 +148,7 @@
 
     def use(
         self, service: ServiceName, now: float, *, near: bool = False
-    ) -> ToldUse:
+    ) -> BudgetUse:
         """What all of them use of a budget, or those of the own zone."""
         fresh, silent, inherited = Sum(), Sum(), _NOTHING
         for account in self._tellers(near=near):
@@ -171,7 +171,7 @@
         now: float,
         *,
         far_only: bool = False,
-    ) -> dict[ServiceName, ToldUse]:
+    ) -> dict[ServiceName, BudgetUse]:
         """What those that are silent for long may still use."""
         silent = [
             account
@@ -201,7 +201,7 @@
     def _knows_more(self, known: Account, account: Account) -> bool:
         if known.near and _has_restarted(known, account):
             return True
-        covered = min(self.window, known.covered(account.heard_at))
+        covered = min(self.window, known.covered(account.received_at))
         return covered > account.told.covered + NEWS_TIME
 
 
@@ -210,5 +210,5 @@
     return before.name == after.name and before.number != after.number
 
 
-def _reserved(use: ToldUse) -> float:
+def _reserved(use: BudgetUse) -> float:
     return use.reserved
--- a/worksrail/core/budgets/_told.py
+++ b/worksrail/core/budgets/_advertised.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from worksrail.core.budgets._counts import TOLD_PARTS
+from worksrail.core.budgets._sliding_count import TOLD_PARTS
 from worksrail.core.identity import ServiceName
 
 REQUEST_PARTS: Final = TOLD_PARTS + TOLD_PARTS // 2
@@ -15,7 +15,7 @@
 _QUARTER: Final = TOLD_PARTS // 4
 
 
-class ToldUse(msgspec.Struct, frozen=True, array_like=True):
+class BudgetUse(msgspec.Struct, frozen=True, array_like=True):
     """How much of one service's budget is in use, as its teller knows."""
 
     came: tuple[int, ...] = ()
@@ -62,7 +62,7 @@
         """Whether there is anything to be told."""
         return bool(self.came or self.reserved)
 
-    def plus(self, other: 'ToldUse') -> 'ToldUse':
+    def plus(self, other: 'BudgetUse') -> 'BudgetUse':
         """Both together."""
         return total((self, other))
 
@@ -80,21 +80,21 @@
         )
 
 
-class ToldBudgets(msgspec.Struct, frozen=True, array_like=True):
+class AdvertisedBudgets(msgspec.Struct, frozen=True, array_like=True):
     """The use of all budgets, as an instance or the speaker of a zone tells.
 
-    >>> one = ToldBudgets(10, {'orders': ToldUse(reserved=3)})
-    >>> one.used['orders'].plus(ToldUse(reserved=1)).reserved
+    >>> one = AdvertisedBudgets(10, {'orders': BudgetUse(reserved=3)})
+    >>> one.used['orders'].plus(BudgetUse(reserved=1)).reserved
     4
     """
 
     covered: float = 0
     """Seconds for which the teller has known who else uses the budgets."""
 
-    used: dict[ServiceName, ToldUse] = {}
+    used: dict[ServiceName, BudgetUse] = {}
     """What the teller uses, or its whole zone."""
 
-    gone: dict[ServiceName, ToldUse] = {}
+    gone: dict[ServiceName, BudgetUse] = {}
     """What others that are silent by now may still use."""
 
 
@@ -117,7 +117,7 @@
     came: list[int] = field(default_factory=list)
     """Requests, the same."""
 
-    def add(self, use: ToldUse) -> None:
+    def add(self, use: BudgetUse) -> None:
         """Add what one of them uses."""
         self.reserved += use.reserved
         self.load += use.load
@@ -125,9 +125,9 @@
         _add_parts(self.sent, use.sent)
         _add_parts(self.came, use.came)
 
-    def use(self) -> ToldUse:
+    def use(self) -> BudgetUse:
         """All of them together."""
-        return ToldUse(
+        return BudgetUse(
             tuple(self.came),
             self.reserved,
             self.load,
@@ -136,7 +136,7 @@
         )
 
 
-def total(uses: Iterable[ToldUse]) -> ToldUse:
+def total(uses: Iterable[BudgetUse]) -> BudgetUse:
     """What several use together."""
     found = Sum()
     for use in uses:
--- a/worksrail/core/budgets/_budget.py
+++ b/worksrail/core/budgets/_budget.py
@@ -22,8 +22,8 @@
     TRAVEL_TIME,
     Room,
 )
-from worksrail.core.budgets._counts import TOLD_PARTS, SlidingCount
-from worksrail.core.budgets._told import REQUEST_PARTS, ToldUse
+from worksrail.core.budgets._advertised import REQUEST_PARTS, BudgetUse
+from worksrail.core.budgets._sliding_count import TOLD_PARTS, SlidingCount
 
 # Shares of the ratio and of the extra number that are used: requests are told
 # of a little late, and reservations rounded.
@@ -85,7 +85,7 @@
 class Others:
     """What an instance knows of the others when it wants to repeat."""
 
-    use: ToldUse
+    use: BudgetUse
     """What they use together."""
 
     instances: int = 1
@@ -104,8 +104,8 @@
 
     >>> budget = SharedBudget.from_bounds(BudgetBounds(0.5, 10, 0), seed=1)
     >>> for number in range(100):
-    ...     budget.note_request(number / 10)
-    >>> alone = Others(ToldUse(), 1)
+    ...     budget.record_request(number / 10)
+    >>> alone = Others(BudgetUse(), 1)
     >>> sum(budget.spend(10.0, alone) for _ in range(100))
     37
     """
@@ -116,7 +116,7 @@
     requests: SlidingCount
     """Requests that came here."""
 
-    repeats: SlidingCount
+    retries: SlidingCount
     """Repeats that were sent from here."""
 
     raised: SlidingCount
@@ -173,7 +173,7 @@
             random.Random(seed),
         )
 
-    def note_request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Count a request for the service."""
         self.requests.note(now)
         self.load.note(now)
@@ -193,17 +193,17 @@
             self._raise(now, others)
         if self.free(now) <= kept:
             return False
-        self.repeats.note(now)
+        self.retries.note(now)
         self.unused = min(self.unused, self.free(now))
         return True
 
     def give_back(self, now: float) -> None:
         """The repeat that was taken last was not sent."""
-        self.repeats.take_back(now)
+        self.retries.take_back(now)
 
     def free(self, now: float) -> int:
         """Repeats that are reserved and were not sent in the window."""
-        return self.reserved - self.repeats.total(now)
+        return self.reserved - self.retries.total(now)
 
     def is_idle(self, now: float) -> bool:
         """Whether there is nothing to be told."""
@@ -229,18 +229,18 @@
         wanting = own.wanting + others.use.wanting
         return Room(left / max(1, load), left * _FOR_WANTING / max(1, wanting))
 
-    def use(self, now: float) -> ToldUse:
+    def use(self, now: float) -> BudgetUse:
         """What this instance uses, to be told."""
         load = round(self.load.rate(now), 1)
-        return ToldUse(
+        return BudgetUse(
             self.requests.by_part(now),
             self.reserved,
             load,
             load if self._is_wanting(now) else 0,
-            self.repeats.by_part(now),
+            self.retries.by_part(now),
         )
 
-    def tend(self, now: float, others: Others) -> None:
+    def maintain(self, now: float, others: Others) -> None:
         """Keep the own part reserved; give back what else is not used.
 
         And what is not allowed any more.
@@ -258,9 +258,9 @@
             self.checked_at = now
             self._give_way(now, others)
 
-    def note_pause(self, now: float) -> None:
+    def handle_pause(self, now: float) -> None:
         """The process stood still: the others have given up on it."""
-        self.reserved = min(self.reserved, self.repeats.total(now))
+        self.reserved = min(self.reserved, self.retries.total(now))
 
     def _counted_twice(self, others: Others) -> float:
         """Requests that left the window where load moved here from others.
@@ -278,7 +278,7 @@
             reserved = self.reserved + others.use.reserved
             kept = self.reserved * (1 + left / reserved) if reserved else 0
             # What was sent stays in the sum until it has left the window.
-            sent = self.repeats.total(now)
+            sent = self.retries.total(now)
             self.reserved = max(min(sent, self.reserved), floor(kept))
 
     def _raise(self, now: float, others: Others) -> None:
--- a/worksrail/core/budgets/_shared.py
+++ b/worksrail/core/budgets/_shared.py
@@ -3,13 +3,13 @@
 from dataclasses import dataclass, field
 
 from worksrail.core.budgets._accounts import Account, Accounts, Rooms
+from worksrail.core.budgets._advertised import AdvertisedBudgets, BudgetUse
 from worksrail.core.budgets._budget import (
     FIRST_NEWS,
     BudgetBounds,
     Others,
     SharedBudget,
 )
-from worksrail.core.budgets._told import ToldBudgets, ToldUse
 from worksrail.core.identity import Incarnation, ServiceName, ZoneName
 
 
@@ -17,7 +17,7 @@
 class FleetUse:
     """How much of one budget is in use, as one instance knows."""
 
-    by_all: ToldUse
+    total: BudgetUse
     """What all instances use together."""
 
     own: int
@@ -33,7 +33,7 @@
 
     >>> budgets = SharedBudgets.begin(BudgetBounds(0.2, 10, 0), 0)
     >>> for _ in range(100):
-    ...     budgets.note_request('orders', now=10)
+    ...     budgets.record_request('orders', now=10)
     >>> budgets.spend('orders', now=13)
     True
     """
@@ -71,9 +71,9 @@
 
     # -- requests
 
-    def note_request(self, service: ServiceName, now: float) -> None:
+    def record_request(self, service: ServiceName, now: float) -> None:
         """Count a request for a service."""
-        self._budget(service).note_request(now)
+        self._budget(service).record_request(now)
 
     def spend(
         self, service: ServiceName, now: float, *, preferred: bool = True
@@ -88,15 +88,15 @@
 
     # -- the other instances
 
-    def join(self, instances: int, known: int) -> None:
+    def set_fleet_size(self, instances: int, known: int) -> None:
         """Take in how many instances live, of how many that are known."""
         self.instances = max(1, instances)
         self.heard = self.instances / max(self.instances, known)
 
-    def take(
+    def receive(
         self,
         who: Incarnation,
-        told: ToldBudgets,
+        told: AdvertisedBudgets,
         now: float,
         *,
         zone: ZoneName = '',
@@ -109,23 +109,23 @@
         account = Account(told, now, who, not zone, self.rooms)
         self.accounts.take(teller, account)
 
-    def tell(self, now: float) -> ToldBudgets:
+    def advertise(self, now: float) -> AdvertisedBudgets:
         """What this instance uses, and what the silent ones may use."""
-        return ToldBudgets(
+        return AdvertisedBudgets(
             self._covered(now, near=True),
             {name: one.use(now) for name, one in self.budgets.items()},
             self.accounts.gone(self.accounts.services(), now),
         )
 
-    def tell_for_zone(self, now: float) -> ToldBudgets:
+    def advertise_zone(self, now: float) -> AdvertisedBudgets:
         """What all instances of the zone use together."""
         services = self.accounts.services()
         used = {
             name: self.accounts.use(name, now, near=True) for name in services
         }
         for name, budget in self.budgets.items():
-            used[name] = budget.use(now).plus(used.get(name, ToldUse()))
-        return ToldBudgets(
+            used[name] = budget.use(now).plus(used.get(name, BudgetUse()))
+        return AdvertisedBudgets(
             self._covered(now, near=True),
             {name: use for name, use in used.items() if use.is_any()},
             self.accounts.gone(services, now, far_only=True),
@@ -140,7 +140,7 @@
             self._is_covered(now),
         )
 
-    def use_of_all(self, service: ServiceName, now: float) -> FleetUse:
+    def fleet_use(self, service: ServiceName, now: float) -> FleetUse:
         """How much of a budget is in use, to be shown."""
         budget = self._budget(service)
         others = self.others(service, now)
@@ -152,7 +152,7 @@
 
     # -- time
 
-    def tend(self, now: float) -> None:
+    def maintain(self, now: float) -> None:
         """Give back what is not used; forget what can't matter any more."""
         self.accounts.forget(now)
         rooms = {}
@@ -161,15 +161,15 @@
                 self.budgets.pop(service)
                 continue
             others = self.others(service, now)
-            budget.tend(now, others)
+            budget.maintain(now, others)
             rooms[service] = budget.room(now, others)
         self.rooms = rooms
 
-    def note_pause(self, now: float) -> None:
+    def handle_pause(self, now: float) -> None:
         """The process stood still: what others did meanwhile is unknown."""
         self.covered_from = now
         for budget in self.budgets.values():
-            budget.note_pause(now)
+            budget.handle_pause(now)
 
     def follow(self, bounds: BudgetBounds, now: float) -> None:
         """Go on with other bounds."""
--- a/worksrail/core/bundle/__init__.py
+++ b/worksrail/core/bundle/__init__.py
@@ -29,7 +29,7 @@
     Upstream,
     Zone,
 )
-from worksrail.core.bundle._topology import ServiceView, Topology
+from worksrail.core.bundle._topology import CompiledService, Topology
 
 __all__ = (
     'MAX_BUNDLE_BYTES',
@@ -38,6 +38,7 @@
     'BundleFault',
     'BundleFaults',
     'ClientBlock',
+    'CompiledService',
     'CustomerQuota',
     'Drain',
     'DrainKind',
@@ -46,7 +47,6 @@
     'PackedBundle',
     'Region',
     'Service',
-    'ServiceView',
     'ShiftCap',
     'Topology',
     'Upstream',
--- a/worksrail/core/bundle/_check.py
+++ b/worksrail/core/bundle/_check.py
@@ -9,8 +9,8 @@
 from pydantic import TypeAdapter, ValidationError
 
 from worksrail.core.bundle._model import (
-    BUNDLE_FAULT_LIMIT,
     FORMAT,
+    MAX_BUNDLE_FAULTS,
     Bundle,
     DrainKind,
     Service,
@@ -97,7 +97,7 @@
     ordered = sorted(faults, key=lambda fault: (fault.line, fault.location))
     return BundleFaults(
         ResultCode.INVALID_BUNDLE,
-        tuple(ordered[:BUNDLE_FAULT_LIMIT]),
+        tuple(ordered[:MAX_BUNDLE_FAULTS]),
     )
 
 
--- a/worksrail/core/bundle/_model.py
+++ b/worksrail/core/bundle/_model.py
@@ -250,4 +250,4 @@
     """How long callers may cache a look-up answer."""
 
 
-BUNDLE_FAULT_LIMIT: Final = 200
+MAX_BUNDLE_FAULTS: Final = 200
--- a/worksrail/core/bundle/_topology.py
+++ b/worksrail/core/bundle/_topology.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True)
-class ServiceView:
+class CompiledService:
     """A service with its upstreams and caps in maps."""
 
     service: Service
@@ -58,7 +58,7 @@
     zone_regions: dict[ZoneName, RegionName]
     """Region of each zone."""
 
-    services: dict[ServiceName, ServiceView]
+    services: dict[ServiceName, CompiledService]
     """Services by name."""
 
     hosts: dict[str, ServiceName]
@@ -106,7 +106,7 @@
             frozenset(bundle.drains),
         )
 
-    def region_of_client(
+    def region_of_caller(
         self,
         address: str,
         default: RegionName,
@@ -132,7 +132,7 @@
             specs.extend(_cap_specs(view, home))
         return specs
 
-    def open_slots(
+    def undrained_slots(
         self,
         service: ServiceName,
         region: RegionName,
@@ -178,15 +178,15 @@
 def _service_view(
     service: Service,
     zone_regions: dict[ZoneName, RegionName],
-) -> ServiceView:
+) -> CompiledService:
     regional: dict[RegionName, list[Upstream]] = defaultdict(list)
     for upstream in service.upstreams:
         regional[zone_regions[upstream.zone]].append(upstream)
     caps = {(cap.source, cap.target): cap for cap in service.shift_caps}
-    return ServiceView(service, dict(regional), caps)
+    return CompiledService(service, dict(regional), caps)
 
 
-def _slot_specs(view: ServiceView, home: Region) -> list[PoolSpec]:
+def _slot_specs(view: CompiledService, home: Region) -> list[PoolSpec]:
     group = slot_group(view.service.name)
     return [
         PoolSpec(slot_pool(upstream.name), group, upstream.slots, home.seats)
@@ -194,7 +194,7 @@
     ]
 
 
-def _cap_specs(view: ServiceView, home: Region) -> list[PoolSpec]:
+def _cap_specs(view: CompiledService, home: Region) -> list[PoolSpec]:
     specs = []
     for (source, target), cap in view.caps.items():
         if target != home.name:
--- a/worksrail/core/configuration/_generations.py
+++ b/worksrail/core/configuration/_generations.py
@@ -32,7 +32,7 @@
 class Configuration:
     """The configuration of one instance.
 
-    >>> Configuration().judge(1, 'd', now=0)
+    >>> Configuration().evaluate_head(1, 'd', now=0)
     <HeadVerdict.FETCH: 'newer: its bundle must be fetched'>
     """
 
@@ -85,7 +85,9 @@
             return self.listed_drains
         return self.listed_drains | self.topology.drains
 
-    def judge(self, generation: int, digest: str, now: float) -> HeadVerdict:
+    def evaluate_head(
+        self, generation: int, digest: str, now: float
+    ) -> HeadVerdict:
         """Take in news of a head."""
         if generation < self.generation:
             return HeadVerdict.OLDER
--- a/worksrail/core/customers.py
+++ b/worksrail/core/customers.py
@@ -28,12 +28,14 @@
 class NoCustomer(Enum):
     """Sentinel: why a request belongs to no customer."""
 
-    NOT_ASKED = 'the configuration has no customers, so nobody needs a key'
+    KEY_NOT_REQUIRED = (
+        'the configuration has no customers, so nobody needs a key'
+    )
     PUBLIC_ROUTE = 'the route is open to callers without a key'
     UNKNOWN_KEY = 'no customer holds the key that came, or none came'
 
 
-class SharedKeyError(ValueError):
+class DuplicateKeyError(ValueError):
     """Two customers hold one key, so it does not say who calls."""
 
 
@@ -89,12 +91,12 @@
             for key in customer.keys:
                 holder = holders.setdefault(key, customer.name)
                 if holder != customer.name:
-                    raise SharedKeyError(
+                    raise DuplicateKeyError(
                         f'{holder} and {customer.name} hold the same key'
                     )
         return cls(by_name, holders)
 
-    def holder_of(self, key: KeyDigest) -> Customer | NoCustomer:
+    def find_by_key(self, key: KeyDigest) -> Customer | NoCustomer:
         """The customer that holds a key."""
         name = self.holders.get(key)
         if name is None:
--- a/worksrail/core/drains.py
+++ b/worksrail/core/drains.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DrainFigure:
+class DrainImpact:
     """What a drain does to one service in one region."""
 
     service: ServiceName
@@ -70,7 +70,7 @@
     instance: Instance,
     drain: Drain,
     now: float,
-) -> tuple[DrainFigure, ...]:
+) -> tuple[DrainImpact, ...]:
     """Figures of all services and regions that a drain touches."""
     topology = instance.configuration.topology
     if topology is None:
@@ -119,16 +119,16 @@
     drain: Drain,
     place: tuple[ServiceName, RegionName],
     in_use: int,
-) -> DrainFigure:
+) -> DrainImpact:
     service, region = place
     drains = instance.configuration.drains
-    after = topology.open_slots(service, region, drains | {drain})
+    after = topology.undrained_slots(service, region, drains | {drain})
     headroom = topology.regions[region].headroom
     caps = topology.services[service].caps
-    return DrainFigure(
+    return DrainImpact(
         service,
         region,
-        topology.open_slots(service, region, drains),
+        topology.undrained_slots(service, region, drains),
         after,
         in_use,
         int(after * (1 - headroom)),
--- a/worksrail/core/explanations.py
+++ b/worksrail/core/explanations.py
@@ -81,7 +81,7 @@
     key = slot_pool(upstream.name)
     pool = instance.ledger.pools.get(key)
     health = instance.upstream_health(key)
-    typical = instance.service_state(service).typical
+    typical = instance.service_state(service).typical_latency
     available = instance.ledger.available(key, now)
     reason = '' if available else 'no permit free'
     if now < health.ejected_until:
--- a/worksrail/core/instance.py
+++ b/worksrail/core/instance.py
@@ -20,8 +20,8 @@
     Lending,
     PermitLedger,
     PoolKey,
-    SeatKeeper,
-    SeatView,
+    SeatContext,
+    SeatManager,
     slot_group,
 )
 from worksrail.core.quarantine import Quarantine
@@ -86,7 +86,7 @@
     configuration: Configuration
     """The configuration in force."""
 
-    seats: SeatKeeper
+    seats: SeatManager
     """Seats held."""
 
     ledger: PermitLedger
@@ -184,7 +184,7 @@
             random.Random(seed),
             Membership(who, place.region),
             configuration,
-            SeatKeeper(who, place.region, now),
+            SeatManager(who, place.region, now),
             ledger,
             Lending(settings, ledger),
             KeyMemory(settings.key_limit, retention),
@@ -213,9 +213,11 @@
         own = Drain(DrainKind.ENTRY, self.who.name)
         return own in self.configuration.drains
 
-    def seat_view(self, now: float) -> SeatView:
+    def seat_view(self, now: float) -> SeatContext:
         """What the seat decisions look at."""
-        return SeatView(self.membership, self.settings, now, self.status(now))
+        return SeatContext(
+            self.membership, self.settings, now, self.status(now)
+        )
 
     def service_state(self, name: str) -> ServiceState:
         """Running state of a service."""
--- a/worksrail/core/limits/__init__.py
+++ b/worksrail/core/limits/__init__.py
@@ -12,13 +12,13 @@
     LimitMessage,
     LimitReply,
     LimitReport,
-    LimitStanding,
+    LimitStatus,
 )
 from worksrail.core.limits._owner import OwnedLimit
 from worksrail.core.limits._quota import (
     QuotaBounds,
-    limit_of,
-    limits_of,
+    quota_limit,
+    quota_limits,
     quota_name,
 )
 from worksrail.core.limits._shared import SharedLimits
@@ -36,7 +36,7 @@
     'LimitMessage',
     'LimitReply',
     'LimitReport',
-    'LimitStanding',
+    'LimitStatus',
     'Members',
     'OwnedLimit',
     'QuotaBounds',
@@ -45,7 +45,7 @@
     'SharedLimits',
     'TokenBucket',
     'Verdict',
-    'limit_of',
-    'limits_of',
+    'quota_limit',
+    'quota_limits',
     'quota_name',
 )
--- a/worksrail/core/limits/_accounts.py
+++ b/worksrail/core/limits/_accounts.py
@@ -5,7 +5,7 @@
 
 from worksrail.core._meters import RateMeter
 from worksrail.core.limits._bucket import SharedLimit, TokenBucket
-from worksrail.core.limits._messages import LimitStanding
+from worksrail.core.limits._messages import LimitStatus
 
 # Seconds over which an entry averages how much of a limit it uses.
 _USUAL_TIME: Final = 10.0
@@ -75,7 +75,7 @@
 
     def take_standing(
         self,
-        standing: LimitStanding,
+        standing: LimitStatus,
         granted: int,
         pause: float,
         now: float,
--- a/worksrail/core/limits/_messages.py
+++ b/worksrail/core/limits/_messages.py
@@ -34,7 +34,7 @@
     owner."""
 
 
-class LimitStanding(msgspec.Struct, frozen=True, array_like=True):
+class LimitStatus(msgspec.Struct, frozen=True, array_like=True):
     """How a limit stands, as its owner tells one entry."""
 
     granted: int
@@ -54,7 +54,7 @@
     number: int
     """The report."""
 
-    standings: dict[LimitName, LimitStanding]
+    standings: dict[LimitName, LimitStatus]
     """How the limits that it named stand."""
 
 
--- a/worksrail/core/limits/_owner.py
+++ b/worksrail/core/limits/_owner.py
@@ -11,7 +11,7 @@
 from typing import Final
 
 from worksrail.core.limits._bucket import SharedLimit, TokenBucket
-from worksrail.core.limits._messages import LimitName, LimitStanding
+from worksrail.core.limits._messages import LimitName, LimitStatus
 
 # Share of a bucket from which entries may admit before they report.  What they
 # admit until the word of a shortage reaches them is taken from the rest: a
@@ -43,13 +43,13 @@
     promised_at: float = 0
     """When ``promised`` was computed."""
 
-    def serve(self, used: int, wanted: int, now: float) -> LimitStanding:
+    def serve(self, used: int, wanted: int, now: float) -> LimitStatus:
         """Account for what an entry used; grant what is left."""
         bucket = self.bucket
         bucket.spend(used, now)
         granted = bucket.take(wanted, now)
         denied = wanted - granted
-        return LimitStanding(
+        return LimitStatus(
             granted,
             bucket.level >= bucket.capacity * _AMPLE,
             self._promise(denied, now) if denied else 0,
@@ -85,7 +85,7 @@
         *,
         since: float,
         now: float,
-    ) -> LimitStanding:
+    ) -> LimitStatus:
         """Serve one entry; ``since`` is when this one became the owner."""
         owned = self.limits.get(name)
         if owned is None:
--- a/worksrail/core/limits/_quota.py
+++ b/worksrail/core/limits/_quota.py
@@ -33,20 +33,20 @@
     return f'quota {customer}'
 
 
-def limit_of(quota: Quota, bounds: QuotaBounds) -> SharedLimit:
+def quota_limit(quota: Quota, bounds: QuotaBounds) -> SharedLimit:
     """The rate and capacity that keep a quota within its bounds."""
     in_window = quota.rate * bounds.window + quota.burst
     beyond = in_window * bounds.overage + bounds.slack
     return SharedLimit(quota.rate, max(1, quota.burst + beyond * _GIVEN_BEYOND))
 
 
-def limits_of(
+def quota_limits(
     customers: Iterable[Customer],
     bounds: QuotaBounds,
 ) -> dict[LimitName, SharedLimit]:
     """The shared limits of some customers, by name."""
     return {
-        quota_name(customer.name): limit_of(customer.quota, bounds)
+        quota_name(customer.name): quota_limit(customer.quota, bounds)
         for customer in customers
         if customer.quota
     }
--- a/worksrail/core/limits/_shared.py
+++ b/worksrail/core/limits/_shared.py
@@ -14,7 +14,7 @@
     LimitName,
     LimitReply,
     LimitReport,
-    LimitStanding,
+    LimitStatus,
     part_of,
 )
 from worksrail.core.limits._owner import LimitOwner
@@ -107,7 +107,7 @@
         for name in self.accounts.keys() - limits.keys():
             self.accounts.pop(name)
 
-    def join(self, members: Members, now: float) -> None:
+    def update_members(self, members: Members, now: float) -> None:
         """Take in who lives; limits move to their new owners."""
         if self.joined and members == self.owners.members:
             return
@@ -120,7 +120,7 @@
             self.joined = True
             self._unpark(now)
 
-    def note_pause(self, now: float) -> None:
+    def handle_pause(self, now: float) -> None:
         """The process stood still: others own its limits by now."""
         self.owned.limits.clear()
         self.owners.since = now
@@ -341,7 +341,7 @@
     # -- reports, as the owner
 
     def _serve(self, report: LimitReport, now: float) -> None:
-        standings: dict[LimitName, LimitStanding] = {}
+        standings: dict[LimitName, LimitStatus] = {}
         elsewhere: dict[InstanceName, set[LimitName]] = {}
         for name in report.used.keys() | report.wanted.keys():
             owner = self.owners.owner_of(name)
@@ -360,13 +360,13 @@
         report: LimitReport,
         name: LimitName,
         now: float,
-    ) -> LimitStanding:
+    ) -> LimitStatus:
         used = report.used.get(name, 0)
         wanted = report.wanted.get(name, 0)
         limit = self.limits.get(name)
         if limit is None:
             # A configuration that is not known to both yet.
-            return LimitStanding(wanted, ample=True, wait=0)
+            return LimitStatus(wanted, ample=True, wait=0)
         return self._own_standing(name, limit, used, wanted, now)
 
     def _own_standing(
@@ -376,7 +376,7 @@
         used: int,
         wanted: int,
         now: float,
-    ) -> LimitStanding:
+    ) -> LimitStatus:
         since = self.owners.since
         if self.owners.owner_of(name) not in {self.who.name, ''}:
             # Others take it for the owner; it can't know since when.
--- a/worksrail/core/lookups.py
+++ b/worksrail/core/lookups.py
@@ -73,7 +73,7 @@
     name = topology.hosts.get(service, service)
     if name not in topology.services:
         return ResultCode.UNKNOWN_SERVICE
-    home = topology.region_of_client(client, instance.place.region)
+    home = topology.region_of_caller(client, instance.place.region)
     records = _candidates(instance, now)
     regions = _regions(instance, topology, name, home)
     entries = [
@@ -98,7 +98,7 @@
 def _candidates(instance: Instance, now: float) -> list[MemberRecord]:
     membership = instance.membership
     return _with_own(
-        instance, membership.open_for_work(now, instance.settings), now
+        instance, membership.accepting_work(now, instance.settings), now
     )
 
 
--- a/worksrail/core/membership/_members.py
+++ b/worksrail/core/membership/_members.py
@@ -35,7 +35,7 @@
     record: MemberRecord
     """Its newest record."""
 
-    heard_at: float
+    received_at: float
     """When a record of it last grew."""
 
     avoid_until: float = 0
@@ -84,18 +84,18 @@
     sample_cursor: int = 0
     """Where the next sample of records goes on."""
 
-    heard_any_at: float = 0
+    last_contact_at: float = 0
     """When any other instance was last heard."""
 
     # -- what is heard
 
-    def hear(
+    def merge_heartbeat(
         self,
         message: Heartbeat,
         now: float,
     ) -> tuple[MemberRecord, ...]:
         """Take in a heartbeat; give the records that were news."""
-        self.heard_any_at = now
+        self.last_contact_at = now
         news = [
             record
             for record in (message.record, *message.others)
@@ -103,7 +103,7 @@
         ]
         return tuple(news)
 
-    def distrust(self, name: InstanceName, now: float, time: float) -> None:
+    def avoid(self, name: InstanceName, now: float, time: float) -> None:
         """Give an instance no new work for a while."""
         member = self.members.get(name)
         if member:
@@ -115,7 +115,7 @@
         gone = [
             name
             for name, member in self.members.items()
-            if now - member.heard_at > keep
+            if now - member.received_at > keep
         ]
         for name in gone:
             self.members.pop(name)
@@ -132,7 +132,7 @@
         member = self.members.get(name)
         if member is None or member.record.status is MemberStatus.LEFT:
             return Liveness.DEAD
-        silence = (now - member.heard_at) / self.slackness(settings)
+        silence = (now - member.received_at) / self.timeout_factor(settings)
         if silence < settings.suspect_after:
             return Liveness.LIVE
         listed = self.listed is None or name in self.listed
@@ -140,7 +140,7 @@
             return Liveness.SUSPECT
         return Liveness.DEAD
 
-    def slackness(self, settings: CoreSettings) -> float:
+    def timeout_factor(self, settings: CoreSettings) -> float:
         """How much longer silences are tolerated in a large fleet.
 
         A round carries a fixed number of records, so that its cost stays
@@ -168,7 +168,7 @@
             if self.liveness(name, now, settings) is Liveness.LIVE:
                 yield member.record
 
-    def open_for_work(
+    def accepting_work(
         self,
         now: float,
         settings: CoreSettings,
@@ -181,12 +181,12 @@
                 if member.avoid_until <= now:
                     yield record
 
-    def heard_within(self, name: InstanceName, now: float, age: float) -> bool:
+    def seen_within(self, name: InstanceName, now: float, age: float) -> bool:
         """Whether an instance was heard in the last ``age`` seconds."""
         member = self.members.get(name)
-        return member is not None and now - member.heard_at < age
+        return member is not None and now - member.received_at < age
 
-    def is_known_gone(self, who: Incarnation, now: float, age: float) -> bool:
+    def has_ended(self, who: Incarnation, now: float, age: float) -> bool:
         """Whether an incarnation has ended: replaced, left or long silent."""
         member = self.members.get(who.name)
         if member is None:
@@ -195,7 +195,7 @@
             return True
         if member.record.status is MemberStatus.LEFT:
             return True
-        return now - member.heard_at >= age
+        return now - member.received_at >= age
 
     # -- what is sent
 
@@ -209,7 +209,7 @@
             name
             for name, member in self.members.items()
             if member.record.status is not MemberStatus.LEFT
-            and now - member.heard_at < 2 * settings.reclaim_after
+            and now - member.received_at < 2 * settings.reclaim_after
         )
         self.counter += 1
         return self._turn(names, settings.heartbeat_fanout)
@@ -248,5 +248,5 @@
         if age <= (old.who.number, old.counter):
             return False
         member.record = record
-        member.heard_at = now
+        member.received_at = now
         return True
--- a/worksrail/core/messages.py
+++ b/worksrail/core/messages.py
@@ -17,8 +17,8 @@
     ServiceName,
 )
 from worksrail.core.limits import LimitHandover, LimitReply, LimitReport
-from worksrail.core.pacing import TokenGrant, TokenRequest, ToldLimit
-from worksrail.core.quarantine import ToldCrashes
+from worksrail.core.pacing import AdvertisedLimit, TokenGrant, TokenRequest
+from worksrail.core.quarantine import AdvertisedCrashes
 
 
 @unique
@@ -110,10 +110,10 @@
     others: tuple[MemberRecord, ...] = ()
     """Records heard from or about other instances."""
 
-    crashes: tuple[ToldCrashes, ...] = ()
+    crashes: tuple[AdvertisedCrashes, ...] = ()
     """Requests under which upstreams crashed."""
 
-    limits: tuple[ToldLimit, ...] = ()
+    limits: tuple[AdvertisedLimit, ...] = ()
     """Limits that upstreams named."""
 
 
@@ -168,7 +168,7 @@
     loan: int
     """The borrower's number."""
 
-    keeps: tuple[LoanPart, ...]
+    kept_parts: tuple[LoanPart, ...]
     """What is kept; a pool that is missing is returned whole."""
 
 
--- a/worksrail/core/pacing/__init__.py
+++ b/worksrail/core/pacing/__init__.py
@@ -5,7 +5,7 @@
 it only with a token.
 """
 
-from worksrail.core.pacing._beliefs import LimitChange, NamedLimits
+from worksrail.core.pacing._advertised import AdvertisedLimit
 from worksrail.core.pacing._messages import (
     AddressedRequest,
     PacingMessage,
@@ -14,17 +14,18 @@
     TokenShare,
 )
 from worksrail.core.pacing._named import NamedLimit, NoRate, read_rate
+from worksrail.core.pacing._named_limits import LimitChange, NamedLimits
 from worksrail.core.pacing._pacer import (
     ALL_REGIONS,
     Pacer,
     Permission,
-    hear_limits,
+    receive_limits,
 )
-from worksrail.core.pacing._told import ToldLimit
 
 __all__ = (
     'ALL_REGIONS',
     'AddressedRequest',
+    'AdvertisedLimit',
     'LimitChange',
     'NamedLimit',
     'NamedLimits',
@@ -35,7 +36,6 @@
     'TokenGrant',
     'TokenRequest',
     'TokenShare',
-    'ToldLimit',
-    'hear_limits',
     'read_rate',
+    'receive_limits',
 )
--- a/worksrail/core/pacing/_told.py
+++ b/worksrail/core/pacing/_advertised.py
@@ -8,7 +8,7 @@
 """Ages are told in whole parts of a second, so many in each."""
 
 
-class ToldLimit(msgspec.Struct, frozen=True, array_like=True):
+class AdvertisedLimit(msgspec.Struct, frozen=True, array_like=True):
     """What one upstream named last, as another instance knows."""
 
     upstream: str
--- a/worksrail/core/pacing/_messages.py
+++ b/worksrail/core/pacing/_messages.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from worksrail.core.identity import InstanceName
-from worksrail.core.pacing._told import ToldLimit
+from worksrail.core.pacing._advertised import AdvertisedLimit
 
 
 class TokenRequest(msgspec.Struct, frozen=True, array_like=True, tag='tokens'):
@@ -30,7 +30,7 @@
     unused: dict[str, int]
     """Tokens that it returns, by upstream."""
 
-    limits: tuple[ToldLimit, ...]
+    limits: tuple[AdvertisedLimit, ...]
     """What it believes of the limits of these upstreams."""
 
 
@@ -53,7 +53,7 @@
     shares: dict[str, TokenShare]
     """What is granted, by upstream."""
 
-    limits: tuple[ToldLimit, ...]
+    limits: tuple[AdvertisedLimit, ...]
     """What the issuer believes of the limits of these upstreams."""
 
 
--- a/worksrail/core/pacing/_named.py
+++ b/worksrail/core/pacing/_named.py
@@ -25,7 +25,7 @@
     rate: float | NoRate
     """Requests a second that it takes from all instances together."""
 
-    heard_at: float
+    received_at: float
     """When the head was read."""
 
 
--- a/worksrail/core/pacing/_beliefs.py
+++ b/worksrail/core/pacing/_named_limits.py
@@ -5,8 +5,8 @@
 from math import ceil, inf
 from typing import Final
 
+from worksrail.core.pacing._advertised import AGES_PER_S, AdvertisedLimit
 from worksrail.core.pacing._named import NamedLimit, NoRate
-from worksrail.core.pacing._told import AGES_PER_S, ToldLimit
 
 # Seconds by which answers of one upstream may overtake each other on their way
 # to one instance, and to different ones.
@@ -35,14 +35,14 @@
     after: float | None
     """Rate that is believed now; None if there is no limit any more."""
 
-    told: bool = False
+    from_peer: bool = False
     """Another instance told of it."""
 
 
 @dataclass(slots=True)
 class _Belief:
     rate: float | None
-    heard_at: float
+    received_at: float
     changed_at: float = -inf
     told_rate: float | None = None
     told_at: float = -inf
@@ -59,9 +59,9 @@
     """The limits that upstreams named last.
 
     >>> limits = NamedLimits()
-    >>> limits.note('u1', NamedLimit(5, heard_at=1)).after
+    >>> limits.note('u1', NamedLimit(5, received_at=1)).after
     5
-    >>> limits.note('u1', NamedLimit(NoRate.NOT_NAMED, heard_at=2)).after
+    >>> limits.note('u1', NamedLimit(NoRate.NOT_NAMED, received_at=2)).after
     >>> limits.rate_of('u1')
     """
 
@@ -82,16 +82,16 @@
         if isinstance(named.rate, NoRate):
             if named.rate is NoRate.UNREADABLE or belief is None:
                 return None
-            if named.heard_at <= belief.heard_at + _OVERTAKING:
+            if named.received_at <= belief.received_at + _OVERTAKING:
                 return None
-            return self._set(upstream, belief, None, named.heard_at)
+            return self._set(upstream, belief, None, named.received_at)
         if belief is None:
-            belief = self._add(upstream, named.heard_at)
-        elif named.heard_at < belief.heard_at:
+            belief = self._add(upstream, named.received_at)
+        elif named.received_at < belief.received_at:
             return None
-        return self._set(upstream, belief, named.rate, named.heard_at)
+        return self._set(upstream, belief, named.rate, named.received_at)
 
-    def take(self, told: ToldLimit, now: float) -> LimitChange | None:
+    def take(self, told: AdvertisedLimit, now: float) -> LimitChange | None:
         """Take in what another instance tells; gives what it changes.
 
         Of two words that are about as old the stricter one counts.
@@ -104,28 +104,28 @@
             belief = self._add(told.upstream, at)
         elif not _outweighs(told.rate, at, belief):
             return None
-        heard_at = max(at, belief.heard_at)
-        change = self._set(told.upstream, belief, told.rate, heard_at)
+        received_at = max(at, belief.received_at)
+        change = self._set(told.upstream, belief, told.rate, received_at)
         belief.changed_at = now if change else belief.changed_at
         return change and LimitChange(
-            change.upstream, change.before, change.after, told=True
+            change.upstream, change.before, change.after, from_peer=True
         )
 
-    def tell(self, upstream: str, now: float) -> ToldLimit | None:
+    def tell(self, upstream: str, now: float) -> AdvertisedLimit | None:
         """What is believed of one upstream, for another instance."""
         belief = self.beliefs.get(upstream)
         if belief is None:
             return None
-        age = ceil(max(0, now - belief.heard_at) * AGES_PER_S)
-        return ToldLimit(upstream, belief.rate, age)
+        age = ceil(max(0, now - belief.received_at) * AGES_PER_S)
+        return AdvertisedLimit(upstream, belief.rate, age)
 
-    def to_tell(
+    def advertise(
         self,
         most: int,
         now: float,
         *,
         with_all: bool,
-    ) -> tuple[ToldLimit, ...]:
+    ) -> tuple[AdvertisedLimit, ...]:
         """What to tell others: changes, or whatever was told least lately.
 
         Instances that have just started know of no limit at all.
@@ -148,13 +148,13 @@
             upstream
             for upstream, belief in self.beliefs.items()
             if upstream not in known
-            or (belief.rate is None and now - belief.heard_at > _ENDS_KEPT)
+            or (belief.rate is None and now - belief.received_at > _ENDS_KEPT)
         ]
         for upstream in gone:
             self.beliefs.pop(upstream)
 
-    def _add(self, upstream: str, heard_at: float) -> _Belief:
-        belief = _Belief(None, heard_at)
+    def _add(self, upstream: str, received_at: float) -> _Belief:
+        belief = _Belief(None, received_at)
         self.beliefs[upstream] = belief
         return belief
 
@@ -163,11 +163,11 @@
         upstream: str,
         belief: _Belief,
         rate: float | None,
-        heard_at: float,
+        received_at: float,
     ) -> LimitChange | None:
         before = belief.rate
-        belief.heard_at = heard_at
-        belief.set(rate, heard_at)
+        belief.received_at = received_at
+        belief.set(rate, received_at)
         if rate == before:
             return None
         return LimitChange(upstream, before, rate)
@@ -181,8 +181,8 @@
 
 
 def _outweighs(rate: float | None, at: float, belief: _Belief) -> bool:
-    if at > belief.heard_at + _AGE_ERROR:
+    if at > belief.received_at + _AGE_ERROR:
         return True
-    if rate is None or at < belief.heard_at - _AGE_ERROR:
+    if rate is None or at < belief.received_at - _AGE_ERROR:
         return False
     return belief.rate is None or rate < belief.rate
--- a/worksrail/core/pacing/_pacer.py
+++ b/worksrail/core/pacing/_pacer.py
@@ -14,7 +14,7 @@
 from worksrail.core._rendezvous import rendezvous
 from worksrail.core.identity import InstanceName, RegionName
 from worksrail.core.limits import Members
-from worksrail.core.pacing._beliefs import LimitChange, NamedLimits
+from worksrail.core.pacing._advertised import AdvertisedLimit
 from worksrail.core.pacing._issuer import TokenIssuer
 from worksrail.core.pacing._messages import (
     AddressedRequest,
@@ -22,8 +22,8 @@
     TokenRequest,
     TokenShare,
 )
+from worksrail.core.pacing._named_limits import LimitChange, NamedLimits
 from worksrail.core.pacing._stock import TokenStock
-from worksrail.core.pacing._told import ToldLimit
 
 # Seconds in which an issuer's answer is awaited, in the own region and in
 # another one: the way there and back fits in several times.
@@ -41,7 +41,7 @@
     """Whether a request may go to an upstream now."""
 
     GRANTED = 'it may be sent at once'
-    ASKABLE = 'a token has to be asked for first'
+    TOKEN_NEEDED = 'a token has to be asked for first'
     DENIED = 'there is no token for it now'
 
 
@@ -128,9 +128,9 @@
             return Permission.DENIED
         if self._is_far(upstream) and now < stock.scarce_until:
             return Permission.DENIED
-        return Permission.ASKABLE
+        return Permission.TOKEN_NEEDED
 
-    def want(self, upstream: str) -> None:
+    def add_demand(self, upstream: str) -> None:
         """A request would have gone there with a token."""
         self._stock(upstream).wanted += 1
         self.wanting.add(upstream)
@@ -139,7 +139,7 @@
         """Seconds until its issuer expects to have a token."""
         return max(0, self._stock(upstream).retry_at - now)
 
-    def note_sent(self, upstream: str, now: float) -> None:
+    def record_sent(self, upstream: str, now: float) -> None:
         """A request is sent."""
         if self.is_limited(upstream):
             self.used += 1
@@ -158,9 +158,9 @@
         """
         found = self.permission(upstream, now)
         stock = self._stock(upstream)
-        if found is Permission.ASKABLE:
+        if found is Permission.TOKEN_NEEDED:
             if self._issuer_of(upstream) != self.name:
-                self.want(upstream)
+                self.add_demand(upstream)
                 return found
             stock.take(self._issue(upstream, 1, 0, now), now)
             return self.permission(upstream, now)
@@ -168,7 +168,7 @@
 
     # -- what changes from outside
 
-    def is_look_due(self, now: float) -> bool:
+    def is_group_update_due(self, now: float) -> bool:
         """Whether to look at who may issue tokens."""
         return now >= self.next_look_at
 
@@ -198,7 +198,7 @@
             if upstream not in known:
                 self.stocks.pop(upstream)
 
-    def note_pause(self) -> None:
+    def handle_pause(self) -> None:
         """The process stood still: tokens are old, others issue by now."""
         self.issuer.owned.clear()
         self.stocks.clear()
@@ -207,7 +207,7 @@
 
     # -- messages
 
-    def ask(
+    def make_requests(
         self,
         now: float,
         *,
@@ -239,7 +239,7 @@
                 wanted.get(receiver, {}), unused.get(receiver, {}), now
             )
             if receiver == self.name:
-                self.take(self.serve(request, now), now)
+                self.receive_grant(self.serve(request, now), now)
             else:
                 yield AddressedRequest(self._peer_of(receiver), request)
 
@@ -260,7 +260,7 @@
             request.number, shares, self._told(request.wanted, now)
         )
 
-    def take(self, grant: TokenGrant, now: float) -> tuple[str, ...]:
+    def receive_grant(self, grant: TokenGrant, now: float) -> tuple[str, ...]:
         """Take in a grant; gives the upstreams that were asked for.
 
         One that comes too late is left alone: a successor may issue by now.
@@ -272,7 +272,7 @@
             self._stock(upstream).take(share, now)
         return asked.upstreams
 
-    def give_up(self, now: float) -> tuple[str, ...]:
+    def expire_requests(self, now: float) -> tuple[str, ...]:
         """Upstreams whose issuers did not answer in time."""
         overdue = [
             number
@@ -334,7 +334,7 @@
         self,
         upstreams: Iterable[str],
         now: float,
-    ) -> tuple[ToldLimit, ...]:
+    ) -> tuple[AdvertisedLimit, ...]:
         told = (self.limits.tell(upstream, now) for upstream in upstreams)
         return tuple(one for one in told if one)
 
@@ -366,9 +366,9 @@
         return stock
 
 
-def hear_limits(
+def receive_limits(
     pacer: Pacer,
-    told: Iterable[ToldLimit],
+    told: Iterable[AdvertisedLimit],
     known: Container[str],
     now: float,
 ) -> Iterator[LimitChange]:
--- a/worksrail/core/permits/__init__.py
+++ b/worksrail/core/permits/__init__.py
@@ -2,7 +2,7 @@
 
 from worksrail.core.permits._holdings import Group, Hold, NoPermit, Pool
 from worksrail.core.permits._ledger import PermitLedger
-from worksrail.core.permits._lending import Addressed, Lender, Lending
+from worksrail.core.permits._lending import Lender, Lending, LoanMessage
 from worksrail.core.permits._loans import LoanId
 from worksrail.core.permits._pool import (
     GroupKey,
@@ -21,26 +21,26 @@
     decode_seats,
     encode_seats,
 )
-from worksrail.core.permits._seats import SeatKeeper, SeatView
+from worksrail.core.permits._seats import SeatContext, SeatManager
 
 __all__ = (
-    'Addressed',
     'Group',
     'GroupKey',
     'Hold',
     'Lender',
     'Lending',
     'LoanId',
+    'LoanMessage',
     'NoPermit',
     'PermitLedger',
     'Pool',
     'PoolKey',
     'PoolKind',
     'PoolSpec',
-    'SeatKeeper',
+    'SeatContext',
+    'SeatManager',
     'SeatRecord',
     'SeatTable',
-    'SeatView',
     'cap_group',
     'cap_pool',
     'decode_seats',
--- a/worksrail/core/permits/_holdings.py
+++ b/worksrail/core/permits/_holdings.py
@@ -62,7 +62,7 @@
     borrowed: dict[int, BorrowedLoan] = field(default_factory=dict)
     """Loans with permits of this pool."""
 
-    ceiling: int | None = None
+    max_in_use: int | None = None
     """Most permits to use at once for now; slow start sets it."""
 
     @property
@@ -90,9 +90,9 @@
         free = max(0, self.idle)
         if self.borrowed:
             free += self.borrowed_idle(now)
-        if self.ceiling is None:
+        if self.max_in_use is None:
             return free
-        return min(free, max(0, self.ceiling - self.total_in_use))
+        return min(free, max(0, self.max_in_use - self.total_in_use))
 
 
 @dataclass(slots=True)
--- a/worksrail/core/permits/_ledger.py
+++ b/worksrail/core/permits/_ledger.py
@@ -96,7 +96,7 @@
         self.generation = generation
         self._reshare()
 
-    def settle(self, generation: int) -> None:
+    def drop_splits_before(self, generation: int) -> None:
         """Forget splits older than one that all seat holders fit into."""
         if generation <= self.oldest:
             return
@@ -126,11 +126,11 @@
             for pool in self.pools.values()
         )
 
-    def limit_pool(self, key: PoolKey, ceiling: int | None) -> None:
+    def set_max_in_use(self, key: PoolKey, max_in_use: int | None) -> None:
         """Bound the permits used at once, or lift the bound."""
         pool = self.pools.get(key)
-        if pool and pool.ceiling != ceiling:
-            pool.ceiling = ceiling
+        if pool and pool.max_in_use != max_in_use:
+            pool.max_in_use = max_in_use
 
     # -- taking and releasing
 
@@ -214,10 +214,10 @@
             sequence,
         )
 
-    def take_back(
+    def apply_return(
         self,
         loan: LoanId,
-        keeps: Iterable[LoanPart],
+        kept_parts: Iterable[LoanPart],
         now: float,
     ) -> None:
         """Count what a borrower returned; counts only ever fall."""
@@ -225,7 +225,7 @@
         if standing is None:
             self._close(loan, now)
             return
-        kept = {PoolKey(part.pool): part.count for part in keeps}
+        kept = {PoolKey(part.pool): part.count for part in kept_parts}
         for key, count in standing.counts.items():
             returned = count - min(count, max(0, kept.get(key, 0)))
             standing.counts[key] = count - returned
@@ -309,7 +309,7 @@
         """End the lent loans on which nothing can run any more."""
         over = [loan for loan in self.lent.values() if loan.until <= now]
         for loan in over:
-            self.take_back(loan.loan, (), now)
+            self.apply_return(loan.loan, (), now)
         late = [key for key, until in self.closed.items() if until <= now]
         for key in late:
             self.closed.pop(key)
