--- a/worksrail/core/permits/_lending.py
+++ b/worksrail/core/permits/_lending.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Addressed:
+class LoanMessage:
     """A message of the lending protocol and who shall get it."""
 
     receiver: Incarnation
@@ -106,12 +106,12 @@
 
     # -- need
 
-    def note_use(self, key: GroupKey) -> None:
+    def record_use(self, key: GroupKey) -> None:
         """Count the permits in use toward the peak."""
         demand = self.demand(key)
         demand.peak = max(demand.peak, self.ledger.groups[key].in_use)
 
-    def note_shortage(self, key: GroupKey, waiting: int) -> None:
+    def set_shortage(self, key: GroupKey, waiting: int) -> None:
         """Set how many requests wait for a permit."""
         self.demand(key).shortage = waiting
 
@@ -134,12 +134,12 @@
 
     # -- borrowing
 
-    def ask(
+    def request_loan(
         self,
         key: GroupKey,
         lenders: Iterable[Lender],
         now: float,
-    ) -> Iterator[Addressed]:
+    ) -> Iterator[LoanMessage]:
         """Ask one lender for permits, if some are wanted."""
         wanted = self.wanted(key)
         if not wanted or self._is_asking(key):
@@ -149,14 +149,14 @@
             return
         self.last_loan += 1
         self.asks[self.last_loan] = OpenAsk(lender, key, now)
-        yield Addressed(lender, LoanRequest(self.last_loan, key, wanted))
+        yield LoanMessage(lender, LoanRequest(self.last_loan, key, wanted))
 
     def on_grant(
         self,
         grant: LoanGrant,
         sender: Incarnation,
         now: float,
-    ) -> Iterator[Addressed]:
+    ) -> Iterator[LoanMessage]:
         """Take up a grant or a renewal; return what came too late."""
         if grant.sequence:
             self.ledger.extend(grant, now)
@@ -172,21 +172,21 @@
             demand.refused[sender.name] = now + self.settings.loan_idle / 2
             return
         if not self.ledger.borrow(grant, sender, ask.asked_at, now):
-            yield Addressed(sender, LoanReturn(grant.loan, ()))
+            yield LoanMessage(sender, LoanReturn(grant.loan, ()))
 
     def on_recall(
         self,
         recall: LoanRecall,
         sender: Incarnation,
         now: float,
-    ) -> Iterator[Addressed]:
+    ) -> Iterator[LoanMessage]:
         """Return what is idle of a recalled loan, the rest when it ends."""
         loan = self.ledger.loans.get(recall.loan)
         if loan and loan.lender == sender:
             loan.recalled = True
             yield self._return(loan, now)
 
-    def on_release(self, number: int, now: float) -> Iterator[Addressed]:
+    def on_release(self, number: int, now: float) -> Iterator[LoanMessage]:
         """Return permits of an ended loan as soon as they are free."""
         loan = self.ledger.loans.get(number)
         if loan and not loan.usable(now):
@@ -201,7 +201,7 @@
         now: float,
         *,
         leaving: bool = False,
-    ) -> Addressed:
+    ) -> LoanMessage:
         """Lend what the own recent peak leaves free, or renew a loan."""
         loan = LoanId(sender, request.loan)
         key = GroupKey(request.group)
@@ -211,7 +211,7 @@
             spare = self.lendable(key, leaving=leaving)
             count = min(request.count, spare)
             grant = self.ledger.lend(loan, key, count, now)
-        return Addressed(sender, grant)
+        return LoanMessage(sender, grant)
 
     def lendable(self, key: GroupKey, *, leaving: bool = False) -> int:
         """Permits that may be lent now."""
@@ -231,7 +231,7 @@
 
     # -- time
 
-    def tick(self, now: float) -> Iterator[Addressed]:
+    def tick(self, now: float) -> Iterator[LoanMessage]:
         """Renew, return, recall and forget what is due."""
         self._turn_window(now)
         self.ledger.expire(now)
@@ -243,18 +243,18 @@
             ask = self.asks.pop(number)
             refused = self.demand(ask.group).refused
             refused[ask.lender.name] = now + self.settings.loan_duration
-            yield Addressed(ask.lender, LoanReturn(number, ()))
+            yield LoanMessage(ask.lender, LoanReturn(number, ()))
         for loan in tuple(self.ledger.loans.values()):
             yield from self._tend(loan, now)
         yield from self._recalls()
 
-    def abandon(self, now: float) -> Iterator[Addressed]:
+    def return_all_loans(self, now: float) -> Iterator[LoanMessage]:
         """Return everything idle and use no loan again."""
         for loan in tuple(self.ledger.loans.values()):
             loan.recalled = True
             yield self._return(loan, now)
 
-    def recall_everything(self) -> None:
+    def mark_all_recalled(self) -> None:
         """Renew nothing that is lent; it all comes back in time."""
         for lent in self.ledger.lent.values():
             lent.recalled = True
@@ -290,7 +290,7 @@
             demand.before = demand.peak
             demand.peak = group.in_use if group else 0
 
-    def _tend(self, loan: BorrowedLoan, now: float) -> Iterator[Addressed]:
+    def _tend(self, loan: BorrowedLoan, now: float) -> Iterator[LoanMessage]:
         if not loan.usable(now):
             if _idle_permits(loan):
                 yield self._return(loan, now)
@@ -310,7 +310,7 @@
             yield self._return(loan, now, keep=keep)
         yield from self._renewal(loan, now)
 
-    def _renewal(self, loan: BorrowedLoan, now: float) -> Iterator[Addressed]:
+    def _renewal(self, loan: BorrowedLoan, now: float) -> Iterator[LoanMessage]:
         if loan.number not in self.ledger.loans:
             return
         half = self.settings.loan_duration / 2
@@ -321,7 +321,7 @@
         if loan.expires_at - now < half and not waiting:
             loan.sequence += 1
             loan.asked_at[loan.sequence] = now
-            yield Addressed(
+            yield LoanMessage(
                 loan.lender,
                 LoanRequest(loan.number, loan.group, 0, loan.sequence),
             )
@@ -332,16 +332,16 @@
         now: float,
         *,
         keep: int = 0,
-    ) -> Addressed:
+    ) -> LoanMessage:
         message = self.ledger.give_back(loan.number, now, keep=keep)
-        return Addressed(loan.lender, message)
+        return LoanMessage(loan.lender, message)
 
-    def _recalls(self) -> Iterator[Addressed]:
+    def _recalls(self) -> Iterator[LoanMessage]:
         for lent in self.ledger.lent.values():
             short = self.demand(lent.group).shortage
             if short and not lent.recalled:
                 lent.recalled = True
-                yield Addressed(
+                yield LoanMessage(
                     lent.loan.borrower, LoanRecall(lent.loan.number)
                 )
 
--- a/worksrail/core/permits/_seats.py
+++ b/worksrail/core/permits/_seats.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SeatView:
+class SeatContext:
     """What the seat decisions need to know of the rest of the instance."""
 
     membership: Membership
@@ -60,7 +60,7 @@
 
 
 @dataclass(slots=True)
-class SeatKeeper:
+class SeatManager:
     """The seats of one instance and what it knows of the table."""
 
     own: Incarnation
@@ -132,13 +132,13 @@
             self.known_epochs[offer.seat] = offer.epoch
         return SeatTaken(offer.seat, offer.epoch)
 
-    def on_taken(self, answer: SeatTaken) -> None:
+    def on_offer_accepted(self, answer: SeatTaken) -> None:
         """End an offer that was taken."""
         offer = self.offers.get(answer.seat)
         if offer and offer.offer.epoch == answer.epoch:
             self.offers.pop(answer.seat)
 
-    def observe(self, view: SeatView) -> None:
+    def observe(self, view: SeatContext) -> None:
         """Keep account of seats that nobody heard holds."""
         spoken_for = set(self.held) | set(self.offers)
         for record in self._heard_here(view):
@@ -159,11 +159,11 @@
         self.known_epochs[seat] = epoch
         self.offers[seat] = OpenOffer(SeatOffer(seat, epoch, receiver))
 
-    def drop_hopeless_offers(self, view: SeatView) -> None:
+    def drop_stale_offers(self, view: SeatContext) -> None:
         """End offers whose receiver has gone; the seat is then claimed."""
         for seat, open_offer in tuple(self.offers.items()):
             receiver = open_offer.offer.receiver
-            if view.membership.is_known_gone(
+            if view.membership.has_ended(
                 receiver, view.now, view.settings.reclaim_after
             ):
                 self.offers.pop(seat)
@@ -173,7 +173,7 @@
         open_offer = self.offers.pop(seat)
         self.held[seat] = open_offer.offer.epoch
 
-    def next_table(self, view: SeatView) -> SeatTable | None:
+    def next_table(self, view: SeatContext) -> SeatTable | None:
         """The table as this instance would have it; None for no change."""
         if self.table is None or self.writing or self.read_at is None:
             return None
@@ -184,7 +184,7 @@
                 table = table.replaced(wanted)
         return None if table == self.table else table
 
-    def hold_recorded(self) -> list[int]:
+    def adopt_recorded_seats(self) -> list[int]:
         """Hold the seats that the table gives this incarnation."""
         gained = []
         for record in self.table.seats if self.table else ():
@@ -197,14 +197,14 @@
 
     def surplus_receiver(
         self,
-        view: SeatView,
+        view: SeatContext,
     ) -> tuple[int, Incarnation] | None:
         """A seat to give to an instance that has none, if this one has two."""
         if len(self.held) < 2 or self.offers:
             return None
         needy = [
             record.who
-            for record in view.membership.open_for_work(
+            for record in view.membership.accepting_work(
                 view.now, view.settings, self.region
             )
             if not record.seats
@@ -215,10 +215,10 @@
         name = rendezvous(f'surplus/{seat}', [who.name for who in needy])
         return seat, next(who for who in needy if who.name == name)
 
-    def successor(self, view: SeatView) -> Incarnation | None:
+    def successor(self, view: SeatContext) -> Incarnation | None:
         """Who takes the seats of a leaving instance: fewest seats first."""
         open_records = list(
-            view.membership.open_for_work(view.now, view.settings, self.region)
+            view.membership.accepting_work(view.now, view.settings, self.region)
         )
         if not open_records:
             return None
@@ -227,7 +227,7 @@
             key=lambda record: (len(record.seats), record.who.name),
         ).who
 
-    def drop_all(self) -> None:
+    def drop_all_seats(self) -> None:
         """Give up all seats without handing them on."""
         self.held.clear()
         self.offers.clear()
@@ -239,14 +239,14 @@
         recorded = len(self.table.seats) if self.table else 0
         return max(recorded, self.wanted_seats)
 
-    def _heard_here(self, view: SeatView) -> list[MemberRecord]:
-        alive = view.settings.dead_after * view.membership.slackness(
+    def _heard_here(self, view: SeatContext) -> list[MemberRecord]:
+        alive = view.settings.dead_after * view.membership.timeout_factor(
             view.settings
         )
         return [
             member.record
             for member in view.membership.members.values()
-            if view.now - member.heard_at < alive
+            if view.now - member.received_at < alive
             and member.record.status is not MemberStatus.LEFT
             and member.record.place.region == self.region
         ]
@@ -272,7 +272,9 @@
             seat: self.intents.get(seat, now) for seat in sorted(mine)
         }
 
-    def _wanted_record(self, record: SeatRecord, view: SeatView) -> SeatRecord:
+    def _wanted_record(
+        self, record: SeatRecord, view: SeatContext
+    ) -> SeatRecord:
         epoch = self.held.get(record.seat)
         if epoch is not None:
             return self._defended(record, epoch)
@@ -297,7 +299,7 @@
     def _claimed(self, record: SeatRecord) -> SeatRecord:
         return SeatRecord(record.seat, self.own, claim_epoch(record.epoch))
 
-    def _pursued(self, record: SeatRecord, view: SeatView) -> SeatRecord:
+    def _pursued(self, record: SeatRecord, view: SeatContext) -> SeatRecord:
         unheld = self.unheld_since.get(record.seat, view.now)
         if view.now - unheld < view.settings.reclaim_after:
             return record
@@ -315,18 +317,18 @@
     def _is_pursued_by_another(
         self,
         record: SeatRecord,
-        view: SeatView,
+        view: SeatContext,
     ) -> bool:
         # Two claimants that replace each other's intents would both fail.
         settings = view.settings
         unheld = view.now - self.unheld_since.get(record.seat, view.now)
         return unheld < 4 * settings.reclaim_after and (
-            view.membership.heard_within(
+            view.membership.seen_within(
                 record.intent.name, view.now, settings.dead_after
             )
         )
 
-    def _is_own_past(self, record: SeatRecord, view: SeatView) -> bool:
+    def _is_own_past(self, record: SeatRecord, view: SeatContext) -> bool:
         # The same name runs once: its earlier process has ended, and what
         # it lent or sent has ended after this time.
         rest = view.settings.loan_duration + view.settings.longest_run
@@ -336,7 +338,7 @@
             and view.now - self.started_at >= rest
         )
 
-    def _may_claim(self, record: SeatRecord, view: SeatView) -> bool:
+    def _may_claim(self, record: SeatRecord, view: SeatContext) -> bool:
         if record.seat in self.offers or record.seat >= self.wanted_seats:
             return False
         if record.seat not in self.unheld_since:
@@ -345,21 +347,21 @@
             return False
         return self._is_claimant(record.seat, view)
 
-    def _all_listed_heard(self, view: SeatView) -> bool:
+    def _all_listed_heard(self, view: SeatContext) -> bool:
         listed = view.membership.listed
         if listed is None:
             return False
         return all(
-            view.membership.heard_within(
+            view.membership.seen_within(
                 name, view.now, view.settings.dead_after
             )
             for name, instance in listed.items()
             if instance.region == self.region and name != self.own.name
         )
 
-    def _is_claimant(self, seat: int, view: SeatView) -> bool:
+    def _is_claimant(self, seat: int, view: SeatContext) -> bool:
         counts = {self.own.name: len(self.held)}
-        for record in view.membership.open_for_work(
+        for record in view.membership.accepting_work(
             view.now, view.settings, self.region
         ):
             counts[record.who.name] = len(record.seats)
--- a/worksrail/core/quarantine/__init__.py
+++ b/worksrail/core/quarantine/__init__.py
@@ -7,7 +7,7 @@
 >>> quarantine = Quarantine()
 >>> for at, upstream in enumerate(('i-1', 'i-2', 'i-3')):
 ...     crash = Crash(upstream, quarantine.begin(7, at))
-...     quarantine.note_crash(7, crash, at)
+...     quarantine.record_crash(7, crash, at)
 1
 2
 3
@@ -15,6 +15,7 @@
 True
 """
 
+from worksrail.core.quarantine._advertised import AdvertisedCrashes
 from worksrail.core.quarantine._fingerprints import (
     Fingerprint,
     fingerprint,
@@ -25,14 +26,13 @@
     Crash,
     Quarantine,
 )
-from worksrail.core.quarantine._told import ToldCrashes
 
 __all__ = (
     'CRASHES_UNTIL_HELD',
+    'AdvertisedCrashes',
     'Crash',
     'Fingerprint',
     'Quarantine',
-    'ToldCrashes',
     'fingerprint',
     'label',
 )
--- a/worksrail/core/quarantine/_told.py
+++ b/worksrail/core/quarantine/_advertised.py
@@ -5,7 +5,7 @@
 from worksrail.core.quarantine._fingerprints import Fingerprint
 
 
-class ToldCrashes(msgspec.Struct, frozen=True, array_like=True):
+class AdvertisedCrashes(msgspec.Struct, frozen=True, array_like=True):
     """Crashes under one request, as one instance knows them."""
 
     fingerprint: Fingerprint
--- a/worksrail/core/quarantine/_quarantine.py
+++ b/worksrail/core/quarantine/_quarantine.py
@@ -7,8 +7,8 @@
 
 import xxhash
 
+from worksrail.core.quarantine._advertised import AdvertisedCrashes
 from worksrail.core.quarantine._fingerprints import Fingerprint
-from worksrail.core.quarantine._told import ToldCrashes
 
 CRASHES_UNTIL_HELD: Final = 3
 """Crashes one after the other from which a request is held."""
@@ -45,7 +45,7 @@
     number: int = 1
     """Which one it is in a row, by what was known when the request was sent."""
 
-    well_at: float = -inf
+    last_success_at: float = -inf
     """When the upstream last answered anything, as this instance knows."""
 
     sent_at: float = -inf
@@ -136,7 +136,7 @@
             return record.count
         return record.count + 1
 
-    def note_crash(
+    def record_crash(
         self,
         request: Fingerprint,
         crash: Crash,
@@ -144,13 +144,17 @@
     ) -> int:
         """An upstream crashed under a request; gives the crashes in a row."""
         upstream = xxhash.xxh32_intdigest(crash.upstream.encode())
-        away = crash.well_at < self.broken.get(upstream, -inf) < crash.sent_at
+        away = (
+            crash.last_success_at
+            < self.broken.get(upstream, -inf)
+            < crash.sent_at
+        )
         self._note_broken(upstream, now)
         record = self._record(request, now)
         if away:
             return record.count if record else 0
         record = record or self._add(request)
-        was_well = crash.well_at > record.crashed_at
+        was_well = crash.last_success_at > record.crashed_at
         if upstream not in record.upstreams or was_well:
             record.count = max(record.count, crash.number)
         record.upstreams.add(upstream)
@@ -159,7 +163,7 @@
         record.changed_at = now
         return record.count
 
-    def note_answer(self, request: Fingerprint, now: float) -> int:
+    def record_response(self, request: Fingerprint, now: float) -> int:
         """An upstream answered a request; gives the crashes this clears."""
         record = self._record(request, now)
         if record is None or not record.count:
@@ -168,7 +172,7 @@
         record.clear(now, now)
         return cleared
 
-    def take(self, told: ToldCrashes, now: float) -> bool:
+    def receive(self, told: AdvertisedCrashes, now: float) -> bool:
         """Take in what another instance tells; true if that holds a request."""
         at = now - told.age / _AGES_PER_S
         record = self._record(told.fingerprint, now)
@@ -178,14 +182,14 @@
             record.clear(at, now)
         return False
 
-    def to_tell(
+    def advertise(
         self,
         most: int,
         now: float,
         rng: random.Random,
         *,
         with_held: bool = True,
-    ) -> tuple[ToldCrashes, ...]:
+    ) -> tuple[AdvertisedCrashes, ...]:
         """What to tell others: some changes, and a few of what is held.
 
         Changes that were told least lately come first, so that an answer is
@@ -218,7 +222,7 @@
     def _take_crashes(
         self,
         record: _Record | None,
-        told: ToldCrashes,
+        told: AdvertisedCrashes,
         at: float,
         now: float,
     ) -> bool:
@@ -275,11 +279,11 @@
         record = self.records[request]
         return record.told_at, -record.count
 
-    def _told(self, request: Fingerprint, now: float) -> ToldCrashes:
+    def _told(self, request: Fingerprint, now: float) -> AdvertisedCrashes:
         record = self.records[request]
         at = record.crashed_at if record.count else record.answered_at
         record.told_at = now
-        return ToldCrashes(
+        return AdvertisedCrashes(
             request,
             record.count,
             round((now - at) * _AGES_PER_S),
--- a/worksrail/core/reducer.py
+++ b/worksrail/core/reducer.py
@@ -65,6 +65,6 @@
     gap = event.now - instance.last_event_at
     instance.last_event_at = event.now
     if gap > instance.settings.pause_limit:
-        effects.extend(_on_time.wake_after_pause(instance, event.now))
+        effects.extend(_on_time.rejoin_after_pause(instance, event.now))
     effects.extend(_HANDLERS[type(event)](instance, event))
     return effects
--- a/worksrail/core/requests/__init__.py
+++ b/worksrail/core/requests/__init__.py
@@ -1,9 +1,9 @@
 """Requests: tickets, memory of executed keys, queue, retry budget."""
 
 from worksrail.core.requests._budget import RetryBudget
-from worksrail.core.requests._head import NoTicket, Passing, RequestHead
+from worksrail.core.requests._head import ArrivalPath, NoTicket, RequestHead
 from worksrail.core.requests._memory import KeyMemory, KeyState
-from worksrail.core.requests._queue import Waiting, WaitingQueue
+from worksrail.core.requests._queue import QueuedRequest, RequestQueue
 from worksrail.core.requests._tickets import (
     Ticket,
     TicketFault,
@@ -11,15 +11,15 @@
 )
 
 __all__ = (
+    'ArrivalPath',
     'KeyMemory',
     'KeyState',
     'NoTicket',
-    'Passing',
+    'QueuedRequest',
     'RequestHead',
+    'RequestQueue',
     'RetryBudget',
     'Ticket',
     'TicketFault',
     'TicketSigner',
-    'Waiting',
-    'WaitingQueue',
 )
--- a/worksrail/core/requests/_budget.py
+++ b/worksrail/core/requests/_budget.py
@@ -17,7 +17,9 @@
     >>> budget.follow({0: 1}, each=1)
     >>> budget.spend()
     False
-    >>> budget.earn(now=1); budget.earn(now=2); budget.earn(now=3)
+    >>> budget.record_success(now=1)
+    >>> budget.record_success(now=2)
+    >>> budget.record_success(now=3)
     >>> budget.spend()
     True
     >>> budget.spend()
@@ -51,7 +53,7 @@
         self.seats = dict(seats)
         self.each = each
 
-    def earn(self, now: float) -> None:
+    def record_success(self, now: float) -> None:
         """Count a success."""
         room = self.each * len(self.seats)
         self.tokens = min(room, self.tokens + self.ratio)
@@ -66,13 +68,13 @@
         return (ahead + 1 - self.tokens) / pace if pace else math.inf
 
     @property
-    def has_one(self) -> bool:
+    def has_retry(self) -> bool:
         """Whether a retry is left."""
         return self.tokens >= 1
 
     def spend(self) -> bool:
         """Spend a retry; false when none is left."""
-        if not self.has_one:
+        if not self.has_retry:
             return False
         self.tokens -= 1
         return True
--- a/worksrail/core/requests/_head.py
+++ b/worksrail/core/requests/_head.py
@@ -16,7 +16,7 @@
 
 
 @unique
-class Passing(Enum):
+class ArrivalPath(Enum):
     """How a request came to this instance."""
 
     DIRECT = 'from a caller'
@@ -52,7 +52,7 @@
     key: str = ''
     """The caller's idempotency key."""
 
-    passing: Passing = Passing.DIRECT
+    passing: ArrivalPath = ArrivalPath.DIRECT
     """How it came here."""
 
     home: RegionName = ''
--- a/worksrail/core/requests/_memory.py
+++ b/worksrail/core/requests/_memory.py
@@ -16,7 +16,7 @@
     FREE = 'never seen, or never executed'
     IN_PROGRESS = 'being executed'
     EXECUTED = 'executed, or perhaps executed'
-    NO_ROOM = 'the memory is full'
+    FULL = 'the memory is full'
 
 
 @dataclass(slots=True)
@@ -50,11 +50,11 @@
         if entry:
             return entry.state
         if len(self.entries) >= self.limit:
-            return KeyState.NO_ROOM
+            return KeyState.FULL
         self.entries[key] = _Entry(KeyState.IN_PROGRESS, wall + self.retention)
         return KeyState.FREE
 
-    def settle(self, key: str, *, executed: bool) -> None:
+    def finish(self, key: str, *, executed: bool) -> None:
         """Say whether a claimed key was, or may have been, executed."""
         entry = self.entries.get(key)
         if entry is None:
--- a/worksrail/core/requests/_queue.py
+++ b/worksrail/core/requests/_queue.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Waiting:
+class QueuedRequest:
     """A request that waits."""
 
     request: RequestId
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True)
-class WaitingQueue:
+class RequestQueue:
     """Requests of one service in the order of arrival.
 
     A request enters only when it is expected to leave in time; one that
@@ -28,7 +28,7 @@
     limit: int
     """Most requests that wait."""
 
-    entries: deque[Waiting] = field(default_factory=deque)
+    entries: deque[QueuedRequest] = field(default_factory=deque)
     """Waiting requests, oldest first."""
 
     gone: set[RequestId] = field(default_factory=set)
@@ -44,14 +44,14 @@
             return float('inf')
         return (len(self) + 1) * service_time / servers
 
-    def put(self, waiting: Waiting) -> bool:
+    def put(self, waiting: QueuedRequest) -> bool:
         """Let a request wait; false when the queue is full."""
         if len(self) >= self.limit:
             return False
         self.entries.append(waiting)
         return True
 
-    def pop(self) -> Waiting | None:
+    def pop(self) -> QueuedRequest | None:
         """Take out the oldest request."""
         while self.entries:
             waiting = self.entries.popleft()
@@ -60,7 +60,7 @@
             self.gone.discard(waiting.request)
         return None
 
-    def put_back(self, waiting: Waiting) -> None:
+    def put_first(self, waiting: QueuedRequest) -> None:
         """Let a request wait at the front again."""
         self.entries.appendleft(waiting)
 
--- a/worksrail/core/requests/active.py
+++ b/worksrail/core/requests/active.py
@@ -17,8 +17,8 @@
 
     NEW = 'not placed yet'
     WAITING = 'waits for a slot'
-    EARNING = 'waits until the budget allows a retry'
-    ASKING = "waits for the word of who keeps its customer's quota"
+    WAITING_FOR_BUDGET = 'waits until the budget allows a retry'
+    WAITING_FOR_QUOTA = "waits for the word of who keeps its customer's quota"
     SENT = 'sent to an upstream'
     PASSED = 'passed to another instance'
 
@@ -87,7 +87,7 @@
     crash_number: int = 0
     """Which one in a row a crash of its present attempt would be."""
 
-    maybe_run: bool = False
+    maybe_executed: bool = False
     """An earlier attempt may have been executed."""
 
     failed_with: ResultCode | None = None
@@ -96,5 +96,5 @@
     caller_gone: bool = False
     """The caller went away; the answer is discarded."""
 
-    last_refusal: float = 0
+    peer_retry_after: float = 0
     """When another instance said to come back, in seconds."""
--- a/worksrail/core/routing/__init__.py
+++ b/worksrail/core/routing/__init__.py
@@ -1,7 +1,7 @@
 """Routing: upstream health, slow start, ejection, rise limits."""
 
 from worksrail.core.routing._health import LatencyAverage, UpstreamHealth
-from worksrail.core.routing._ramp import RiseLimit
+from worksrail.core.routing._rise_limit import RiseLimit
 from worksrail.core.routing._service import ServiceState
 
 __all__ = ('LatencyAverage', 'RiseLimit', 'ServiceState', 'UpstreamHealth')
--- a/worksrail/core/routing/_health.py
+++ b/worksrail/core/routing/_health.py
@@ -45,10 +45,10 @@
     latency: LatencyAverage = field(default_factory=LatencyAverage)
     """Own service times."""
 
-    last_used_at: float = 0
+    last_answer_at: float = 0
     """When it last answered."""
 
-    well_at: float = -math.inf
+    last_success_at: float = -math.inf
     """When it last answered well."""
 
     failures: int = 0
@@ -72,7 +72,7 @@
     reported_at: float = float('-inf')
     """When it reported."""
 
-    def note_report(self, load: float, now: float) -> None:
+    def record_report(self, load: float, now: float) -> None:
         """Take in a load report, bounded to a sensible share."""
         if math.isfinite(load):
             self.report = min(1, max(0, load))
@@ -82,14 +82,14 @@
         """Expected service time, shaded by the report; lower is better."""
         latency = typical
         if self.latency.samples:
-            faded = math.exp((self.last_used_at - now) / _MEMORY_FADE)
+            faded = math.exp((self.last_answer_at - now) / _MEMORY_FADE)
             latency += (self.latency.average - typical) * faded
         weight = _REPORT_WEIGHT * math.exp(
             (self.reported_at - now) / _REPORT_FADE
         )
         return latency * (1 + weight * self.report)
 
-    def is_suspicious(self, typical: float) -> bool:
+    def is_outlier(self, typical: float) -> bool:
         """Whether it fails, or is far slower than its service."""
         if self.failures >= _FAILURE_LIMIT:
             return True
@@ -108,7 +108,7 @@
         self.failures = 0
         self.latency = LatencyAverage()
 
-    def ceiling(
+    def max_in_use(
         self, slots: int, seats: int, slow_start: float, now: float
     ) -> int | None:
         """Most requests to send it at once; None for no bound.
--- a/worksrail/core/routing/_service.py
+++ b/worksrail/core/routing/_service.py
@@ -4,9 +4,9 @@
 from typing import Final
 
 from worksrail.core.identity import RegionName
-from worksrail.core.requests import RetryBudget, WaitingQueue
+from worksrail.core.requests import RequestQueue, RetryBudget
 from worksrail.core.routing._health import LatencyAverage
-from worksrail.core.routing._ramp import RiseLimit
+from worksrail.core.routing._rise_limit import RiseLimit
 from worksrail.core.settings import CoreSettings
 
 _FIRST_GUESS: Final = 0.1
@@ -16,13 +16,13 @@
 class ServiceState:
     """Queue, budget and averages of one service."""
 
-    queue: WaitingQueue
+    queue: RequestQueue
     """Requests that wait for a slot."""
 
     budget: RetryBudget
     """What may be retried."""
 
-    retries: WaitingQueue
+    retries: RequestQueue
     """Requests that wait until the budget allows a retry."""
 
     latency: LatencyAverage = field(default_factory=LatencyAverage)
@@ -39,10 +39,10 @@
         """State of a service that has had no request yet."""
         budget = RetryBudget(settings.retry_ratio)
         limit = settings.queue_limit
-        return cls(WaitingQueue(limit), budget, WaitingQueue(limit))
+        return cls(RequestQueue(limit), budget, RequestQueue(limit))
 
     @property
-    def typical(self) -> float:
+    def typical_latency(self) -> float:
         """Typical service time in seconds."""
         return self.latency.average or _FIRST_GUESS
 
--- a/worksrail/core/steering/__init__.py
+++ b/worksrail/core/steering/__init__.py
@@ -3,17 +3,16 @@
 from worksrail.core.steering._catalog import (
     Catalog,
     UpstreamRecord,
-    name_of_life,
+    incarnation_name,
 )
 from worksrail.core.steering._digests import (
     Contact,
     Digest,
     EntryDigest,
-    ToldKeys,
+    KeySketch,
     ZoneDigest,
 )
 from worksrail.core.steering._directory import EntryList, look_up
-from worksrail.core.steering._news import StoreNews
 from worksrail.core.steering._reducer import reduce
 from worksrail.core.steering._request import SteeredRequest
 from worksrail.core.steering._routes import (
@@ -32,7 +31,8 @@
     EntrySettings,
     SteeringBounds,
 )
-from worksrail.core.steering._watching import news_since
+from worksrail.core.steering._store_sync import StoreUpdate
+from worksrail.core.steering._store_watch import store_update_since
 from worksrail.core.steering.state import SteeringState
 
 __all__ = (
@@ -45,6 +45,7 @@
     'EntryLimits',
     'EntryList',
     'EntrySettings',
+    'KeySketch',
     'NoRoute',
     'NotConfigured',
     'Route',
@@ -55,12 +56,11 @@
     'SteeredRequest',
     'SteeringBounds',
     'SteeringState',
-    'StoreNews',
-    'ToldKeys',
+    'StoreUpdate',
     'UpstreamRecord',
     'ZoneDigest',
+    'incarnation_name',
     'look_up',
-    'name_of_life',
-    'news_since',
     'reduce',
+    'store_update_since',
 )
--- a/worksrail/core/steering/_admitting.py
+++ b/worksrail/core/steering/_admitting.py
@@ -35,7 +35,7 @@
     verdict = state.limits.admit(name, request.number, now)
     if verdict.admission is not Admission.WAITING:
         yield from _follow(state, request, verdict, now)
-    yield from follow_limits(state, now)
+    yield from process_limit_outputs(state, now)
 
 
 def on_limit_message(
@@ -44,21 +44,21 @@
 ) -> Iterator[Effect]:
     """Take in what another entry tells of a shared limit."""
     state.limits.receive(event.message, event.now)
-    yield from follow_limits(state, event.now)
+    yield from process_limit_outputs(state, event.now)
 
 
-def tend_limits(state: SteeringState, now: float) -> Iterator[Effect]:
+def maintain_limits(state: SteeringState, now: float) -> Iterator[Effect]:
     """Report what was admitted, and take in who lives."""
     if not state.limits.limits:
         return
     if state.settled(now):
         members = members_by_region(state, now)[ALL_REGIONS]
-        state.limits.join(members, now)
+        state.limits.update_members(members, now)
     state.limits.tick(now)
-    yield from follow_limits(state, now)
+    yield from process_limit_outputs(state, now)
 
 
-def follow_limits(state: SteeringState, now: float) -> Iterator[Effect]:
+def process_limit_outputs(state: SteeringState, now: float) -> Iterator[Effect]:
     """Send what the limits have to tell, and go on with what waited."""
     for output in state.limits.take_outputs():
         if isinstance(output, Addressed):
--- a/worksrail/core/steering/_affinity.py
+++ b/worksrail/core/steering/_affinity.py
@@ -10,7 +10,7 @@
 
 from worksrail.core.identity import RegionName, ServiceName
 from worksrail.core.steering._catalog import Catalog
-from worksrail.core.steering._nearness import Nearness, Shares
+from worksrail.core.steering._region_shares import RegionShares, Shares
 from worksrail.core.steering._ring import HASHES, Probes, Ring, probes_of
 
 # Upstreams of each key, its own included, that it spills to.  An upstream
@@ -57,7 +57,7 @@
     def homes_of(
         self,
         catalog: Catalog,
-        nearness: Nearness,
+        region_shares: RegionShares,
         origin: RegionName,
         service: ServiceName,
         key: str,
@@ -69,22 +69,22 @@
         upstreams of these: it would be a stranger at all of them otherwise,
         and executed cold at one after the other.
         """
-        self._follow(catalog, nearness)
+        self._follow(catalog, region_shares)
         known = self.homes.get((service, key, regions))
         if known is None:
             if len(self.homes) >= _CACHE_LIMIT:
                 self.homes.clear()
             shares = self.shares.get(service)
             if shares is None:
-                shares = nearness.present_shares(catalog, service, origin)
+                shares = region_shares.present_shares(catalog, service, origin)
                 self.shares[service] = shares
             known = self._find(catalog, service, key, shares, regions)
             self.homes[service, key, regions] = known
         return known
 
-    def _follow(self, catalog: Catalog, nearness: Nearness) -> None:
+    def _follow(self, catalog: Catalog, region_shares: RegionShares) -> None:
         before = self.generation
-        self.generation = (catalog.generation, nearness.generation)
+        self.generation = (catalog.generation, region_shares.generation)
         if self.generation == before:
             return
         self.homes.clear()
--- a/worksrail/core/steering/_catalog.py
+++ b/worksrail/core/steering/_catalog.py
@@ -5,21 +5,21 @@
 from typing import Final
 
 from worksrail.core.identity import RegionName, ServiceName, ZoneName
-from worksrail.core.steering._pulse import StorePulse
+from worksrail.core.steering._store_health import StoreHealth
 
 # Seconds without an answer of the store from which entries may lapse, where no
 # operators' bound is given.
 _LAPSE_TIME: Final = 1.5
 
 
-def name_of_life(identifier: str, born: int) -> str:
+def incarnation_name(identifier: str, born: int) -> str:
     """Name of one life of an upstream.
 
     An upstream may start again under its identifier.  It remembers nothing
     then, so all that is known or told of its earlier life, as load, warmth or
     failures, must not be taken for this one's.
 
-    >>> name_of_life('i-1', 0), name_of_life('i-1', 17)
+    >>> incarnation_name('i-1', 0), incarnation_name('i-1', 17)
     ('i-1', 'i-1@17')
     """
     return f'{identifier}@{born}' if born else identifier
@@ -60,7 +60,7 @@
     """When this life began, Unix milliseconds; zero if it does not say."""
 
     @property
-    def listed_as(self) -> str:
+    def discovery_id(self) -> str:
         """Identifier that discovery lists it under."""
         return self.identifier or self.name
 
@@ -103,13 +103,15 @@
     regions: dict[ZoneName, RegionName]
     """Region of each zone."""
 
-    pulse: StorePulse = field(default_factory=lambda: StorePulse(_LAPSE_TIME))
+    store_health: StoreHealth = field(
+        default_factory=lambda: StoreHealth(_LAPSE_TIME)
+    )
     """Whether the store has been away."""
 
     upstreams: dict[str, Upstream] = field(default_factory=dict)
     """Upstreams by the names of their lives."""
 
-    lives: dict[str, str] = field(default_factory=dict)
+    current_incarnations: dict[str, str] = field(default_factory=dict)
     """Name of the present life by identifier."""
 
     services: dict[ServiceName, list[Upstream]] = field(default_factory=dict)
@@ -140,15 +142,15 @@
         lapse_time: float,
     ) -> 'Catalog':
         """An empty catalog; entries may lapse after some seconds."""
-        return cls(regions, StorePulse(lapse_time))
+        return cls(regions, StoreHealth(lapse_time))
 
     def replace(self, records: Iterable[UpstreamRecord], now: float) -> None:
         """Take in a complete list."""
         listed = set()
         for record in records:
-            listed.add(record.listed_as)
+            listed.add(record.discovery_id)
             self._take(record, now)
-        for identifier in tuple(self.lives):
+        for identifier in tuple(self.current_incarnations):
             if identifier not in listed:
                 self._miss(identifier, now)
         self._index()
@@ -175,7 +177,7 @@
             self.evacuated = zones
             self._index()
 
-    def misdirect(self, name: str) -> None:
+    def mark_misdirected(self, name: str) -> None:
         """Another upstream answered at the address of this one."""
         upstream = self.upstreams.get(name)
         if upstream and not upstream.misdirected:
@@ -184,7 +186,7 @@
 
     def expire(self, now: float) -> list[str]:
         """Remove what has been missing for too long; gives the names."""
-        if not self.missing or self.pulse.keeps_missing(now):
+        if not self.missing or self.store_health.keeps_missing(now):
             return []
         gone = sorted(self.missing)
         for name in gone:
@@ -198,7 +200,7 @@
 
     def listed(self, identifier: str) -> Upstream | None:
         """The present life of an upstream, if it is known."""
-        return self.upstreams.get(self.lives.get(identifier, ''))
+        return self.upstreams.get(self.current_incarnations.get(identifier, ''))
 
     def region_of(self, name: str) -> RegionName:
         """Region of an upstream; empty if it is not known."""
@@ -216,10 +218,10 @@
     def _drop(self, upstream: Upstream) -> None:
         self.upstreams.pop(upstream.name)
         self.missing.discard(upstream.name)
-        self.lives.pop(upstream.record.listed_as)
+        self.current_incarnations.pop(upstream.record.discovery_id)
 
     def _take(self, record: UpstreamRecord, now: float) -> None:
-        known = self.listed(record.listed_as)
+        known = self.listed(record.discovery_id)
         if known and known.name != record.name:
             if record.born < known.record.born:
                 # A late report of an earlier life.
@@ -235,7 +237,7 @@
             region = self.regions.get(record.zone, '')
             known = Upstream(record, region, cold_until)
             self.upstreams[record.name] = known
-            self.lives[record.listed_as] = record.name
+            self.current_incarnations[record.discovery_id] = record.name
             return
         if record.address != known.record.address:
             known.misdirected = False
@@ -251,7 +253,7 @@
         upstream = self.listed(identifier)
         if upstream is None:
             return
-        if upstream.record.draining or not self.pulse.keeps_missing(now):
+        if upstream.record.draining or not self.store_health.keeps_missing(now):
             self._drop(upstream)
         else:
             self.missing.add(upstream.name)
--- a/worksrail/core/steering/_choosing.py
+++ b/worksrail/core/steering/_choosing.py
@@ -10,21 +10,21 @@
 from worksrail.core.results import ResultCode
 from worksrail.core.steering._affinity import Homes
 from worksrail.core.steering._catalog import Upstream
-from worksrail.core.steering._cold import sharers_of
-from worksrail.core.steering._load import FASTEST, LearnedTime, UpstreamLoad
+from worksrail.core.steering._cold_limits import cold_senders
+from worksrail.core.steering._congestion import (
+    crowding,
+    price_of,
+    use_of_slots,
+)
+from worksrail.core.steering._load import FASTEST, LatencyEwma, UpstreamLoad
+from worksrail.core.steering._max_wait import patience
 from worksrail.core.steering._request import SteeredRequest
 from worksrail.core.steering._routes import (
     RouteKind,
     RoutingConfiguration,
     ServicePolicy,
 )
-from worksrail.core.steering._shortage import (
-    crowding,
-    price_of,
-    use_of_slots,
-)
 from worksrail.core.steering._tokens import may_ask_for_token
-from worksrail.core.steering._waiting import patience
 from worksrail.core.steering.state import SteeringState
 
 # First guess of the way to another region and back, until connections teach
@@ -115,7 +115,7 @@
         """Look up what the decision needs."""
         key = request.affinity_key
         service = request.service
-        times = state.warmth.of(request.route, service)
+        times = state.warm_keys.of(request.route, service)
         used = use_of_slots(state, service, now)
         policy = None
         if isinstance(state.configuration, RoutingConfiguration):
@@ -125,10 +125,10 @@
             request,
             now,
             times.warm.typical,
-            state.usual_time(service, times.warm.typical).typical,
+            state.typical_time(service, times.warm.typical).typical,
             times.loss if key else 0,
             _homes(state, request) if key else (),
-            state.warmth.warm_at(service, key, now),
+            state.warm_keys.warm_at(service, key, now),
             price_of(used),
             used,
             policy,
@@ -182,7 +182,7 @@
         return self._limit_allows(upstream.name)
 
     def _slowness(self, upstream: Upstream, load: UpstreamLoad) -> float:
-        learned = load.slowness_now(self.now)
+        learned = load.current_slowness(self.now)
         if upstream.cold_until > self.now:
             return max(learned, _COLD_SLOWNESS)
         return learned
@@ -198,7 +198,7 @@
         """Seconds until a token comes, if one has to be asked for."""
         pacer = self.state.rates.named
         asked = pacer.permission(upstream.name, self.now)
-        if asked is Permission.ASKABLE:
+        if asked is Permission.TOKEN_NEEDED:
             return distance(self.state, upstream.region).typical
         return 0
 
@@ -216,7 +216,7 @@
         permission = self.state.rates.named.permission(name, self.now)
         if permission is Permission.GRANTED and not self.yields:
             return True
-        if permission is Permission.ASKABLE:
+        if permission is Permission.TOKEN_NEEDED:
             if may_ask_for_token(self.request):
                 return True
         self.limited.append(name)
@@ -228,9 +228,9 @@
             return False
         state = self.state
         own = state.settings.name
-        sharers = sharers_of(
+        sharers = cold_senders(
             upstream.name,
-            [own, *state.fleet.sharers(region)],
+            [own, *state.fleet.entries_in_region(region)],
             rate,
             state.settings.bounds,
         )
@@ -251,10 +251,10 @@
     best = _best_home(scale) or _best_of_all(scale)
     if scale.limited:
         # The key's own upstreams are weighed first.
-        state.rates.named.want(scale.limited[0])
+        state.rates.named.add_demand(scale.limited[0])
     if best is None:
         if scale.limited:
-            state.rates.named.want(state.rng.choice(scale.limited))
+            state.rates.named.add_demand(state.rng.choice(scale.limited))
             state.rates.refused[request.priority] = now
             return ResultCode.UPSTREAMS_LIMITED
         return ResultCode.NO_SLOT
@@ -263,13 +263,13 @@
     return _other_home(scale) or ResultCode.QUEUE_FULL
 
 
-def distance(state: SteeringState, region: RegionName) -> LearnedTime:
+def distance(state: SteeringState, region: RegionName) -> LatencyEwma:
     """Seconds to a region and back."""
-    known = state.distances.get(region)
+    known = state.region_rtts.get(region)
     if known is None:
         near = region == state.settings.region
-        known = LearnedTime(_NEAR_GUESS if near else _FAR_GUESS)
-        state.distances[region] = known
+        known = LatencyEwma(_NEAR_GUESS if near else _FAR_GUESS)
+        state.region_rtts[region] = known
     return known
 
 
@@ -358,7 +358,7 @@
 def _homes(state: SteeringState, request: SteeredRequest) -> Homes:
     return state.affinity.homes_of(
         state.catalog,
-        state.nearness,
+        state.region_shares,
         state.settings.region,
         request.service,
         request.affinity_key,
@@ -377,7 +377,7 @@
         load = state.loads.of(upstream.name)
         out = (
             load.ejected_until > scale.now
-            or state.reach.is_out(upstream.record.zone, scale.now)
+            or state.reachability.is_excluded(upstream.record.zone, scale.now)
             or load.is_silent(scale.usual, upstream.record.slots, scale.now)
         )
         if out is ejected:
--- a/worksrail/core/steering/_cold.py
+++ b/worksrail/core/steering/_cold_limits.py
@@ -33,7 +33,7 @@
         last = self.last_sent.get(name)
         return last is None or now - last >= max(1, sharers) / rate
 
-    def note_sent(self, name: str, now: float) -> None:
+    def record_sent(self, name: str, now: float) -> None:
         """Count a request to a cold upstream."""
         self.last_sent[name] = now
 
@@ -43,7 +43,7 @@
             self.last_sent.pop(name)
 
 
-def sharers_of(
+def cold_senders(
     name: str,
     entries: list[str],
     rate: float,
@@ -65,10 +65,10 @@
     )[:most]
 
 
-def most_in_a_second(rate: float, sharers: int) -> int:
+def max_requests_per_second(rate: float, sharers: int) -> int:
     """Most requests that a cold upstream gets in one second.
 
-    >>> most_in_a_second(14, 3)
+    >>> max_requests_per_second(14, 3)
     17
     """
     return ceil(rate) + sharers
--- a/worksrail/core/steering/_shortage.py
+++ b/worksrail/core/steering/_congestion.py
@@ -9,7 +9,7 @@
 from typing import Final
 
 from worksrail.core.identity import ServiceName
-from worksrail.core.steering.state import Shortage, SteeringState
+from worksrail.core.steering.state import SlotUsage, SteeringState
 
 # Share of its slots from which an upstream counts as short of room.
 _ROOMY: Final = 0.5
@@ -33,10 +33,10 @@
     now: float,
 ) -> float:
     """Requests in flight at a service over its slots; may pass 1."""
-    known = state.shortages.get(service)
-    if known is None or now - known.seen_at > _kept_for(state, service):
-        known = Shortage(_counted(state, service), now)
-        state.shortages[service] = known
+    known = state.slot_usage.get(service)
+    if known is None or now - known.measured_at > _kept_for(state, service):
+        known = SlotUsage(_counted(state, service), now)
+        state.slot_usage[service] = known
     return known.used
 
 
--- a/worksrail/core/steering/_digests.py
+++ b/worksrail/core/steering/_digests.py
@@ -4,15 +4,15 @@
 
 import msgspec
 
-from worksrail.core.budgets import ToldBudgets
+from worksrail.core.budgets import AdvertisedBudgets
 from worksrail.core.identity import (
     Incarnation,
     RegionName,
     ServiceName,
     ZoneName,
 )
-from worksrail.core.pacing import ToldLimit
-from worksrail.core.quarantine import ToldCrashes
+from worksrail.core.pacing import AdvertisedLimit
+from worksrail.core.quarantine import AdvertisedCrashes
 from worksrail.core.steering.kinds import StoreKind
 
 _KINDS: Final = tuple(StoreKind)
@@ -70,7 +70,7 @@
         return self.revisions[_KINDS.index(kind)]
 
 
-class ToldKeys(msgspec.Struct, frozen=True, array_like=True):
+class KeySketch(msgspec.Struct, frozen=True, array_like=True):
     """A sketch of the keys that callers ask for at one service."""
 
     service: ServiceName = ''
@@ -95,7 +95,7 @@
     known: tuple[str, ...]
     """Peer addresses of other entries, for those that know few."""
 
-    keys: ToldKeys = ToldKeys()
+    keys: KeySketch = KeySketch()
     """Sketch of its callers' keys."""
 
     store_age: int | None = None
@@ -105,20 +105,20 @@
     """Tenths of a second since it came back from an outage, if upstreams may
     still return from that."""
 
-    crashes: tuple[ToldCrashes, ...] = ()
+    crashes: tuple[AdvertisedCrashes, ...] = ()
     """Requests under which upstreams crashed."""
 
-    limits: tuple[ToldLimit, ...] = ()
+    limits: tuple[AdvertisedLimit, ...] = ()
     """Limits that upstreams named."""
 
-    budgets: ToldBudgets = ToldBudgets()
+    budgets: AdvertisedBudgets = AdvertisedBudgets()
     """How much of the budgets of repeats is in use."""
 
 
 class ZoneDigest(msgspec.Struct, frozen=True, array_like=True, tag='zone'):
     """What the speaker of a zone tells the other zones' entries."""
 
-    speaker: Incarnation
+    relay: Incarnation
     """The entry that speaks for its zone."""
 
     zone: ZoneName
@@ -136,7 +136,7 @@
     passed_on: bool = False
     """It came to this zone before, and was passed on within it."""
 
-    keys: ToldKeys = ToldKeys()
+    keys: KeySketch = KeySketch()
     """Sketch of the keys that callers of all its members ask for."""
 
     store_age: int | None = None
@@ -146,13 +146,13 @@
     """Tenths of a second since it came back from an outage, if upstreams may
     still return from that."""
 
-    crashes: tuple[ToldCrashes, ...] = ()
+    crashes: tuple[AdvertisedCrashes, ...] = ()
     """Requests under which upstreams crashed."""
 
-    limits: tuple[ToldLimit, ...] = ()
+    limits: tuple[AdvertisedLimit, ...] = ()
     """Limits that upstreams named."""
 
-    budgets: ToldBudgets = ToldBudgets()
+    budgets: AdvertisedBudgets = AdvertisedBudgets()
     """How much of the budgets of repeats is in use."""
 
 
--- a/worksrail/core/steering/_fleet.py
+++ b/worksrail/core/steering/_fleet.py
@@ -41,7 +41,7 @@
     contact: Contact
     """What it told last."""
 
-    heard_at: float
+    received_at: float
     """When that came."""
 
     number: int = 0
@@ -53,7 +53,7 @@
     def alive(self, now: float) -> bool:
         """Whether it was heard lately."""
         limit = _DEAD_AFTER if self.near else _FAR_DEAD_AFTER
-        return now - self.heard_at < limit
+        return now - self.received_at < limit
 
     def takes_requests(self, now: float) -> bool:
         """Whether callers may be sent there."""
@@ -67,12 +67,12 @@
     digest: ZoneDigest
     """The last digest."""
 
-    heard_at: float
+    received_at: float
     """When that came."""
 
     def alive(self, now: float) -> bool:
         """Whether it was heard lately."""
-        return now - self.heard_at < _FAR_DEAD_AFTER
+        return now - self.received_at < _FAR_DEAD_AFTER
 
 
 @dataclass(slots=True)
@@ -126,14 +126,14 @@
         known = self.zones.get(digest.zone)
         if digest.zone == self.zone:
             return False
-        if known and known.digest.speaker == digest.speaker:
+        if known and known.digest.relay == digest.relay:
             if digest.number <= known.digest.number:
                 return False
         self.zones[digest.zone] = FarZone(digest, now)
         for contact in digest.members:
             self.entries[contact.name] = Entry(contact, now, near=False)
             self.learn(contact.peer, now)
-        if known and known.digest.speaker == digest.speaker:
+        if known and known.digest.relay == digest.relay:
             self._bury(known.digest, digest, now)
         return True
 
@@ -142,7 +142,7 @@
         if address and address != self.peer:
             self.addresses[address] = now
 
-    def learn_all(self, addresses: Iterable[str], now: float) -> None:
+    def add_addresses(self, addresses: Iterable[str], now: float) -> None:
         """Remember addresses at which entries may be."""
         for address in addresses:
             self.learn(address, now)
@@ -151,12 +151,12 @@
         """Entries that were heard lately."""
         return [entry for entry in self.entries.values() if entry.alive(now)]
 
-    def mates(self, now: float) -> list[Contact]:
+    def zone_peers(self, now: float) -> list[Contact]:
         """Other entries of the own zone that live."""
-        mates = [self.entries[name] for name in sorted(self.near)]
-        return [entry.contact for entry in mates if entry.alive(now)]
+        zone_peers = [self.entries[name] for name in sorted(self.near)]
+        return [entry.contact for entry in zone_peers if entry.alive(now)]
 
-    def sharers(self, region: RegionName) -> list[str]:
+    def entries_in_region(self, region: RegionName) -> list[str]:
         """Entries of a region, recently dead ones included."""
         return [
             name
@@ -192,11 +192,13 @@
         failing = sum(contact.store_lost for contact in first[:usual])
         return first[: usual + failing]
 
-    def is_speaker(self, own: Contact, now: float) -> bool:
+    def is_relay(self, own: Contact, now: float) -> bool:
         """Whether this entry speaks for its zone: the first of its duties."""
-        return not any(self._precedes(mate, own) for mate in self.mates(now))
+        return not any(
+            self._precedes(mate, own) for mate in self.zone_peers(now)
+        )
 
-    def speakers(self, now: float) -> list[str]:
+    def relays(self, now: float) -> list[str]:
         """Addresses of the speakers of the other zones."""
         by_zone: dict[ZoneName, Contact] = {}
         for contact in self.far(now):
@@ -230,7 +232,7 @@
         forgotten = [
             name
             for name, entry in self.entries.items()
-            if now - entry.heard_at > _REMEMBER
+            if now - entry.received_at > _REMEMBER
         ]
         for name in forgotten:
             self.entries.pop(name)
@@ -275,7 +277,9 @@
         for contact in before.members:
             entry = self.entries.get(contact.name)
             if entry and contact.name not in named:
-                entry.heard_at = min(entry.heard_at, now - _FAR_DEAD_AFTER)
+                entry.received_at = min(
+                    entry.received_at, now - _FAR_DEAD_AFTER
+                )
 
 
 def _draw(addresses: list[str], most: int, rng: random.Random) -> list[str]:
--- a/worksrail/core/steering/_identifying.py
+++ b/worksrail/core/steering/_identifying.py
@@ -9,7 +9,7 @@
 from worksrail.core.steering.state import SteeringState
 
 
-def identify(
+def resolve_customer(
     state: SteeringState,
     configuration: RoutingConfiguration,
     route: Route,
@@ -18,8 +18,8 @@
 ) -> Customer | NoCustomer | ResultCode:
     """The customer of a request, why it has none, or why it is refused."""
     if configuration.customers is None:
-        return NoCustomer.NOT_ASKED
-    holder = configuration.customers.holder_of(head.key_digest)
+        return NoCustomer.KEY_NOT_REQUIRED
+    holder = configuration.customers.find_by_key(head.key_digest)
     if isinstance(holder, Customer):
         return holder
     if route.public:
@@ -50,6 +50,6 @@
     """
     if not state.settled(now) or StoreKind.CONFIGURATION in state.behind_since:
         return True
-    if state.watching and not state.lost:
+    if state.watching and not state.failing_kinds:
         return False
     return all(entry.contact.store_lost for entry in state.fleet.alive(now))
--- a/worksrail/core/steering/_sharing.py
+++ b/worksrail/core/steering/_key_overlap.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(slots=True)
-class KeySharing:
+class KeyOverlap:
     """Sketches of the own keys and of what others told."""
 
     own: dict[ServiceName, dict[int, float]] = field(default_factory=dict)
@@ -48,7 +48,7 @@
     told: dict[ServiceName, dict[str, ToldSketch]] = field(default_factory=dict)
     """Sketches by service and by who told them."""
 
-    def note(self, service: ServiceName, key: str, now: float) -> None:
+    def record_key(self, service: ServiceName, key: str, now: float) -> None:
         """A caller of this entry asked for a key."""
         hashed = xxhash.xxh32_intdigest(key.encode())
         seen = self.own.setdefault(service, {})
@@ -58,7 +58,7 @@
             seen.pop(max(seen))
         seen[hashed] = now
 
-    def take(
+    def set_sketch(
         self,
         teller: str,
         region: RegionName,
--- a/worksrail/core/steering/_learning.py
+++ b/worksrail/core/steering/_learning.py
@@ -6,7 +6,7 @@
 from worksrail.core.steering._choosing import distance
 from worksrail.core.steering._load import UpstreamLoad
 from worksrail.core.steering._request import SteeredRequest
-from worksrail.core.steering._warmth import RouteTimes
+from worksrail.core.steering._warm_keys import RouteTimes
 from worksrail.core.steering.effects import Decision, DecisionKind, Effect
 from worksrail.core.steering.events import AttemptEnded, AttemptOutcome
 from worksrail.core.steering.state import SteeringState
@@ -35,10 +35,10 @@
 _ORDINARY: Final = 1.5
 # Expected times after which an attempt that ends without an answer speaks
 # against its upstream, also if the caller left.
-SILENCE: Final = 4.0
+SILENCE_FACTOR: Final = 4.0
 
 
-def learn(
+def record_attempt(
     state: SteeringState,
     request: SteeredRequest,
     event: AttemptEnded,
@@ -46,7 +46,9 @@
     """Take in how an attempt ended; say what it changes."""
     name = request.upstream
     load = state.loads.of(name)
-    silent = event.now - request.sent_at > SILENCE * request.expected
+    silent = (
+        event.now - request.sent_at > SILENCE_FACTOR * request.expected_time
+    )
     load.note_ended(event.now)
     yield from _learn_reach(state, request, event)
     outcome = event.outcome
@@ -54,7 +56,7 @@
     if outcome is AttemptOutcome.CANCELLED and not silent:
         return
     if outcome is AttemptOutcome.OTHER_UPSTREAM:
-        state.catalog.misdirect(name)
+        state.catalog.mark_misdirected(name)
         yield Decision(DecisionKind.UPSTREAM_MISDIRECTED, name, event.request)
     elif outcome is AttemptOutcome.ANSWERED:
         _learn_times(state, request, event)
@@ -63,7 +65,7 @@
             return
     elif outcome is AttemptOutcome.NOT_EXECUTED:
         return
-    if load.note_failure(event.now, silent=request.moving):
+    if load.note_failure(event.now, silent=request.rerouting):
         yield Decision(
             DecisionKind.UPSTREAM_EJECTED,
             name,
@@ -84,7 +86,7 @@
         failed = outcome is not AttemptOutcome.ANSWERED
         failed = failed or event.status >= _SERVER_ERROR
         load.note_acceptance(event.now, rejected=False)
-        load.note_answer(event.now, failed=failed)
+        load.record_response(event.now, failed=failed)
 
 
 def _learn_reach(
@@ -99,12 +101,14 @@
         distance(state, upstream.region).add(event.connect_time)
     zone = upstream.record.zone
     if event.outcome in _REACHED or event.connect_time:
-        state.reach.note_reached(zone)
+        state.reachability.record_reachable(zone)
         return
     hung = event.now - request.sent_at > _HUNG
     dark = event.outcome is AttemptOutcome.NOT_CONNECTED and hung
-    if dark or request.moving:
-        if state.reach.note_unreached(zone, upstream.name, event.now):
+    if dark or request.rerouting:
+        if state.reachability.record_unreachable(
+            zone, upstream.name, event.now
+        ):
             yield Decision(
                 DecisionKind.ZONE_UNREACHED,
                 zone,
@@ -123,11 +127,11 @@
     name = request.upstream
     taken = event.now - request.sent_at
     key = request.affinity_key
-    known = not key or name in state.warmth.warm_at(
+    known = not key or name in state.warm_keys.warm_at(
         request.service, key, event.now
     )
-    times = state.warmth.of(request.route, request.service)
-    ratio = taken / max(request.expected, _LEAST_EXPECTED)
+    times = state.warm_keys.of(request.route, request.service)
+    ratio = taken / max(request.expected_time, _LEAST_EXPECTED)
     # Elsewhere it is not known whether other entries warmed the key.
     telling = known == request.warm
     if key and request.warm and _may_be_cold(ratio, times):
@@ -135,19 +139,19 @@
     if telling:
         # A cold execution where a warm one was expected is no slow upstream:
         # taken for one, it sends keys away to where they are cold once more.
-        state.loads.of(name).note_speed(ratio, event.now)
+        state.loads.of(name).record_speed(ratio, event.now)
     upstream = state.catalog.upstreams.get(name)
     if upstream is None:
         return
     executed = max(0, taken - distance(state, upstream.region).typical)
-    state.usual_time(request.service, executed).add(
+    state.typical_time(request.service, executed).add(
         executed / (1 + request.queue)
     )
     if telling and not request.queue:
         average = times.warm if known else times.cold
         average.add(executed)
     if key:
-        state.warmth.note_served(request.service, key, name, event.now)
+        state.warm_keys.note_served(request.service, key, name, event.now)
 
 
 def _may_be_cold(ratio: float, times: RouteTimes) -> bool:
--- a/worksrail/core/steering/_load.py
+++ b/worksrail/core/steering/_load.py
@@ -63,10 +63,10 @@
     ejected_until: float = 0
     """Until when it gets nothing."""
 
-    well_at: float = -inf
+    last_success_at: float = -inf
     """When a whole answer of it came last."""
 
-    owing_since: float = 0
+    unanswered_since: float = 0
     """Since when it owes an answer without having given one."""
 
     @property
@@ -74,16 +74,16 @@
         """Requests of all entries in flight there."""
         return self.own + self.others
 
-    def note_sent(self, now: float) -> None:
+    def record_sent(self, now: float) -> None:
         """A request of this entry goes there."""
         if not self.own:
-            self.owing_since = now
+            self.unanswered_since = now
         self.own += 1
 
     def note_ended(self, now: float) -> None:
         """A request of this entry has ended there, however."""
         self.own -= 1
-        self.owing_since = now
+        self.unanswered_since = now
 
     def is_silent(self, usual: float, slots: int, now: float) -> bool:
         """Whether it owes answers for much longer than usual.
@@ -93,19 +93,19 @@
         if not self.own:
             return False
         queued = 1 + self.in_flight / max(1, slots)
-        slow = max(1, self.slowness_now(now))
+        slow = max(1, self.current_slowness(now))
         patience = usual * queued * slow * _SILENT_TIMES
-        return now - self.owing_since > patience + _SILENT_SLACK
+        return now - self.unanswered_since > patience + _SILENT_SLACK
 
-    def slowness_now(self, now: float) -> float:
+    def current_slowness(self, now: float) -> float:
         """The learned slowness, faded by its age."""
         age = now - self.slowness_at
         return 1 + (self.slowness - 1) * 2 ** (-age / _FADE)
 
-    def note_speed(self, ratio: float, now: float) -> None:
+    def record_speed(self, ratio: float, now: float) -> None:
         """Learn from the time of one execution over the usual time."""
         bounded = max(FASTEST, min(_SLOWEST, ratio))
-        current = self.slowness_now(now)
+        current = self.current_slowness(now)
         self.slowness = current + _GAIN * (bounded - current)
         self.slowness_at = now
 
@@ -113,7 +113,7 @@
         """Share of answers that are failures, faded by its age."""
         return _faded(self.failing, self.failing_at, now)
 
-    def note_answer(self, now: float, *, failed: bool) -> None:
+    def record_response(self, now: float, *, failed: bool) -> None:
         """An answer came, a success or a failure.
 
         An upstream that fails a part of its requests may never fail so many
@@ -141,7 +141,7 @@
     def note_success(self, now: float) -> None:
         """A whole answer came."""
         self.failures = 0
-        self.well_at = now
+        self.last_success_at = now
         self.ejected_until = 0
 
     def note_failure(self, now: float, *, silent: bool = False) -> bool:
@@ -165,7 +165,7 @@
 
 
 @dataclass(slots=True)
-class LearnedTime:
+class LatencyEwma:
     """A moving average of times, in seconds."""
 
     typical: float
@@ -183,7 +183,7 @@
     loads: dict[str, UpstreamLoad] = field(default_factory=dict)
     """Loads."""
 
-    told: dict[str, dict[str, int]] = field(default_factory=dict)
+    reported: dict[str, dict[str, int]] = field(default_factory=dict)
     """In flight by upstream, as each entry of the zone and each other zone
     told last."""
 
@@ -195,25 +195,25 @@
             self.loads[name] = load
         return load
 
-    def take(self, teller: str, in_flight: dict[str, int]) -> None:
+    def update_reported(self, teller: str, in_flight: dict[str, int]) -> None:
         """Take in what another one tells; replaces what it told before."""
-        before = self.told.get(teller, {})
+        before = self.reported.get(teller, {})
         for name in before.keys() | in_flight.keys():
             change = in_flight.get(name, 0) - before.get(name, 0)
             if change:
                 self.of(name).others += change
-        self.told[teller] = in_flight
+        self.reported[teller] = in_flight
 
     def forget(self, teller: str) -> None:
         """Another one is gone, and its requests with it."""
-        self.take(teller, {})
-        self.told.pop(teller)
+        self.update_reported(teller, {})
+        self.reported.pop(teller)
 
-    def sum_of(self, tellers: Iterable[str]) -> dict[str, int]:
+    def total_in_flight(self, tellers: Iterable[str]) -> dict[str, int]:
         """Requests of this entry and of some others, by upstream."""
         total = Counter(self.own_in_flight())
         for teller in tellers:
-            total.update(self.told.get(teller, {}))
+            total.update(self.reported.get(teller, {}))
         return dict(total)
 
     def own_in_flight(self) -> dict[str, int]:
--- a/worksrail/core/steering/_waiting.py
+++ b/worksrail/core/steering/_max_wait.py
@@ -24,7 +24,7 @@
     ``work`` is the seconds of execution and way that follow the wait.
     """
     target = request.route.target_latency
-    if request.returned:
+    if request.caller_retried:
         left = request.deadline - now - work
         return min(left, target * _RETURNED_WAIT)
     left = request.arrived_at + target * _ON_TIME - now - work
--- a/worksrail/core/steering/_on_digests.py
+++ b/worksrail/core/steering/_on_digests.py
@@ -10,12 +10,12 @@
     Contact,
     Digest,
     EntryDigest,
-    ToldKeys,
+    KeySketch,
     ZoneDigest,
 )
-from worksrail.core.steering._on_answers import hear_of_store
-from worksrail.core.steering._pacing import hear_of_limits
-from worksrail.core.steering._quarantining import hear_of_crashes
+from worksrail.core.steering._on_store_answers import hear_of_store
+from worksrail.core.steering._pacing import receive_named_limits
+from worksrail.core.steering._quarantining import receive_crashes
 from worksrail.core.steering.effects import (
     MANY,
     Decision,
@@ -74,8 +74,8 @@
     state.digests += 1
     state.next_digest_at = now + _DIGEST_INTERVAL
     fleet = state.fleet
-    mates = fleet.mates(now)
-    receivers = {contact.peer for contact in mates}
+    zone_peers = fleet.zone_peers(now)
+    receivers = {contact.peer for contact in zone_peers}
     receivers.update(state.greeted, fleet.newcomers(now, state.rng))
     with_held = bool(state.greeted) or not state.digests % _HELD_EVERY
     state.greeted.clear()
@@ -87,12 +87,14 @@
     if now < state.next_zone_digest_at:
         return
     # A fresh entry may not have met its zone yet, and would speak for itself.
-    if state.ready and fleet.is_speaker(own, now):
+    if state.ready and fleet.is_relay(own, now):
         state.next_zone_digest_at = now + _ZONE_DIGEST_INTERVAL * _ON_THE_DOT
-        speakers = fleet.speakers(now)
-        if speakers:
-            told = _zone_digest(state, (own, *mates), now, with_held=with_held)
-            yield SendDigest(tuple(speakers), told)
+        relays = fleet.relays(now)
+        if relays:
+            told = _zone_digest(
+                state, (own, *zone_peers), now, with_held=with_held
+            )
+            yield SendDigest(tuple(relays), told)
 
 
 def tell_at_once(state: SteeringState, now: float) -> None:
@@ -114,8 +116,8 @@
         state.leaving,
         settings.capacity,
         round(state.arrivals.rate(now), 1),
-        tuple(state.mirror.revisions.values()),
-        bool(state.lost),
+        tuple(state.store_sync.revisions.values()),
+        bool(state.failing_kinds),
     )
 
 
@@ -129,11 +131,11 @@
     if not state.fleet.take(digest, now):
         return
     yield from hear_of_store(state, digest, now)
-    yield from hear_of_crashes(state, digest.crashes, now)
-    yield from hear_of_limits(state, digest.limits, now)
+    yield from receive_crashes(state, digest.crashes, now)
+    yield from receive_named_limits(state, digest.limits, now)
     if digest.sender.zone == state.settings.zone:
-        state.loads.take(name, digest.in_flight)
-        state.budgets.take(digest.sender.who, digest.budgets, now)
+        state.loads.update_reported(name, digest.in_flight)
+        state.budgets.receive(digest.sender.who, digest.budgets, now)
         _take_keys(state, name, digest.sender.region, digest.keys, now)
     if fresh:
         state.greeted.add(digest.sender.peer)
@@ -149,10 +151,10 @@
     if not state.fleet.take_zone(digest, now):
         return
     yield from hear_of_store(state, digest, now)
-    yield from hear_of_crashes(state, digest.crashes, now)
-    yield from hear_of_limits(state, digest.limits, now)
-    state.loads.take(_label(digest.zone), digest.in_flight)
-    state.budgets.take(digest.speaker, digest.budgets, now, zone=digest.zone)
+    yield from receive_crashes(state, digest.crashes, now)
+    yield from receive_named_limits(state, digest.limits, now)
+    state.loads.update_reported(_label(digest.zone), digest.in_flight)
+    state.budgets.receive(digest.relay, digest.budgets, now, zone=digest.zone)
     region = state.settings.regions.get(digest.zone, '')
     _take_keys(state, _label(digest.zone), region, digest.keys, now)
     fresh = [one for one in digest.members if one.name not in known]
@@ -165,10 +167,10 @@
     if not digest.passed_on:
         # Whoever gets it first passes it on, speaker or not: a zone may know
         # of a new speaker later than that one itself.
-        mates = [contact.peer for contact in state.fleet.mates(now)]
-        if mates:
+        zone_peers = [contact.peer for contact in state.fleet.zone_peers(now)]
+        if zone_peers:
             passed = msgspec.structs.replace(digest, passed_on=True)
-            yield SendDigest(tuple(sorted(mates)), passed)
+            yield SendDigest(tuple(sorted(zone_peers)), passed)
 
 
 def forget_silent_zones(state: SteeringState, now: float) -> None:
@@ -190,25 +192,27 @@
     state: SteeringState,
     teller: str,
     region: RegionName,
-    keys: ToldKeys,
+    keys: KeySketch,
     now: float,
 ) -> None:
     if keys.service:
-        state.sharing.take(teller, region, keys.service, keys.hashes, now)
+        state.key_overlap.set_sketch(
+            teller, region, keys.service, keys.hashes, now
+        )
 
 
 def _told_keys(
     state: SteeringState,
     tellers: list[str],
     now: float,
-) -> ToldKeys:
+) -> KeySketch:
     """Sketch of the keys of this entry and of some others, now and then."""
-    services = sorted(state.sharing.own)
+    services = sorted(state.key_overlap.own)
     turn, rest = divmod(state.digests, _KEYS_EVERY)
     if rest or not services:
-        return ToldKeys()
+        return KeySketch()
     service = services[turn % len(services)]
-    return ToldKeys(service, state.sharing.sketch(service, tellers, now))
+    return KeySketch(service, state.key_overlap.sketch(service, tellers, now))
 
 
 def _label(zone: str) -> str:
@@ -222,9 +226,9 @@
     *,
     with_held: bool,
 ) -> Digest:
-    mates = [mate.peer for mate in state.fleet.mates(now)]
+    zone_peers = [mate.peer for mate in state.fleet.zone_peers(now)]
     alive = [entry.contact.peer for entry in state.fleet.alive(now)]
-    known = state.rng.sample(mates, min(_KNOWN_LIMIT, len(mates)))
+    known = state.rng.sample(zone_peers, min(_KNOWN_LIMIT, len(zone_peers)))
     known += state.rng.sample(alive, min(_KNOWN_LIMIT, len(alive)))
     return EntryDigest(
         own_contact(state, now),
@@ -232,15 +236,15 @@
         _busiest(state.loads.own_in_flight(), _IN_FLIGHT_LIMIT),
         tuple(sorted(set(known))),
         _told_keys(state, [], now),
-        state.catalog.pulse.told_age(now),
-        state.catalog.pulse.told_return(now),
-        state.quarantine.to_tell(
+        state.catalog.store_health.advertised_age(now),
+        state.catalog.store_health.advertised_return(now),
+        state.quarantine.advertise(
             _CRASHES_LIMIT, now, state.rng, with_held=with_held
         ),
-        state.rates.named.limits.to_tell(
+        state.rates.named.limits.advertise(
             _NAMED_LIMITS_LIMIT, now, with_all=with_held
         ),
-        state.budgets.tell(now),
+        state.budgets.advertise(now),
     )
 
 
@@ -251,23 +255,25 @@
     *,
     with_held: bool,
 ) -> Digest:
-    mates = [member.name for member in members if member.who != state.who]
+    zone_peers = [member.name for member in members if member.who != state.who]
     return ZoneDigest(
         state.who,
         state.settings.zone,
         state.digests,
         members,
-        _busiest(state.loads.sum_of(mates), _ZONE_IN_FLIGHT_LIMIT),
-        keys=_told_keys(state, mates, now),
-        store_age=state.catalog.pulse.told_age(now),
-        store_return=state.catalog.pulse.told_return(now),
-        crashes=state.quarantine.to_tell(
+        _busiest(
+            state.loads.total_in_flight(zone_peers), _ZONE_IN_FLIGHT_LIMIT
+        ),
+        keys=_told_keys(state, zone_peers, now),
+        store_age=state.catalog.store_health.advertised_age(now),
+        store_return=state.catalog.store_health.advertised_return(now),
+        crashes=state.quarantine.advertise(
             _ZONE_CRASHES_LIMIT, now, state.rng, with_held=with_held
         ),
-        limits=state.rates.named.limits.to_tell(
+        limits=state.rates.named.limits.advertise(
             _ZONE_NAMED_LIMITS_LIMIT, now, with_all=with_held
         ),
-        budgets=state.budgets.tell_for_zone(now),
+        budgets=state.budgets.advertise_zone(now),
     )
 
 
--- a/worksrail/core/steering/_on_requests.py
+++ b/worksrail/core/steering/_on_requests.py
@@ -7,17 +7,20 @@
 from worksrail.core.identity import RegionName
 from worksrail.core.results import ResultCode
 from worksrail.core.steering._admitting import admit
-from worksrail.core.steering._identifying import allowed_regions, identify
-from worksrail.core.steering._learning import learn
+from worksrail.core.steering._identifying import (
+    allowed_regions,
+    resolve_customer,
+)
+from worksrail.core.steering._learning import record_attempt
 from worksrail.core.steering._pacing import learn_limit
 from worksrail.core.steering._placing import (
     place,
     refuse,
-    retry_pause,
+    retry_delay,
     version_of,
 )
 from worksrail.core.steering._quarantining import fingerprint_of, learn_crash
-from worksrail.core.steering._repeating import NOT_EXECUTED, denial_of
+from worksrail.core.steering._repeating import NOT_EXECUTED, repeat_denial
 from worksrail.core.steering._request import SteeredRequest
 from worksrail.core.steering._routes import (
     NoRoute,
@@ -64,7 +67,7 @@
     state.arrivals.note(event.now)
     request = _recognised(state, event)
     if isinstance(request, ResultCode):
-        retry_after = retry_pause(state) if _comes_back(request) else 0
+        retry_after = retry_delay(state) if _comes_back(request) else 0
         yield Decision(
             DecisionKind.REQUEST_REFUSED,
             request.name,
@@ -73,10 +76,12 @@
         )
         yield AnswerResult(event.request, request, retry_after)
         return
-    state.budgets.note_request(request.service, event.now)
-    request.returned = _has_returned(state, request)
+    state.budgets.record_request(request.service, event.now)
+    request.caller_retried = _has_returned(state, request)
     if request.affinity_key:
-        state.sharing.note(request.service, request.affinity_key, event.now)
+        state.key_overlap.record_key(
+            request.service, request.affinity_key, event.now
+        )
     state.requests[event.request] = request
     yield from admit(state, request, event.now)
 
@@ -121,15 +126,15 @@
     if event.outcome not in NOT_EXECUTED:
         request.maybe_executed = True
     cut = event.outcome is AttemptOutcome.CANCELLED
-    if request.caller_gone or (cut and not request.moving):
+    if request.caller_gone or (cut and not request.rerouting):
         state.requests.pop(request.number)
         yield Decision(
             DecisionKind.REQUEST_DROPPED, event.outcome.name, request.number
         )
         return
-    request.moving = False
+    request.rerouting = False
     is_repeat = event.outcome is not AttemptOutcome.NOT_CONNECTED
-    denial = denial_of(state, request, event)
+    denial = repeat_denial(state, request, event)
     if denial:
         yield from _finish(state, request, event, denial)
         return
@@ -143,7 +148,7 @@
     request: SteeredRequest,
     event: AttemptEnded,
 ) -> Iterator[Effect]:
-    yield from learn(state, request, event)
+    yield from record_attempt(state, request, event)
     yield from learn_crash(state, request, event)
     yield from learn_limit(state, request, event)
 
@@ -159,7 +164,9 @@
     route = _route(state, configuration, event)
     if isinstance(route, ResultCode):
         return route
-    customer = identify(state, configuration, route, event.head, event.now)
+    customer = resolve_customer(
+        state, configuration, route, event.head, event.now
+    )
     if isinstance(customer, ResultCode):
         return customer
     regions = allowed_regions(route, customer)
@@ -255,7 +262,7 @@
     denial: str,
     now: float,
 ) -> Decision:
-    use = state.budgets.use_of_all(request.service, now)
+    use = state.budgets.fleet_use(request.service, now)
     return Decision(
         DecisionKind.REPEAT_DENIED,
         denial,
@@ -266,8 +273,8 @@
             ('from', request.last_upstream),
             ('left', round(use.left, 1)),
             ('reserved', use.own),
-            ('reserved_by_all', round(use.by_all.reserved)),
-            ('requests_of_all', round(use.by_all.requests)),
+            ('reserved_by_all', round(use.total.reserved)),
+            ('requests_of_all', round(use.total.requests)),
         ),
     )
 
@@ -281,10 +288,10 @@
             ('status', event.status),
             ('route', request.route.name),
             ('late', int(_is_late(request, event.now))),
-            ('returned', int(request.returned)),
+            ('returned', int(request.caller_retried)),
             ('after', round(event.now - request.arrived_at, 4)),
             ('execution', round(event.now - request.sent_at, 4)),
-            ('expected', round(request.expected, 4)),
+            ('expected', round(request.expected_time, 4)),
             ('sends', request.sends),
         ),
     )
--- a/worksrail/core/steering/_on_store.py
+++ b/worksrail/core/steering/_on_store.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Iterator
 from typing import Any, Final
 
-from worksrail.core.limits import limits_of
+from worksrail.core.limits import quota_limits
 from worksrail.core.steering._catalog import UpstreamRecord
 from worksrail.core.steering._routes import RoutingConfiguration
 from worksrail.core.steering.effects import (
@@ -30,7 +30,7 @@
 ) -> Iterator[Effect]:
     """Bring a higher version into force; a lower one never."""
     state.seen.add(StoreKind.CONFIGURATION)
-    state.mirror.note(StoreKind.CONFIGURATION, event.revision)
+    state.store_sync.note(StoreKind.CONFIGURATION, event.revision)
     version = event.configuration.version
     current = state.configuration
     if isinstance(current, RoutingConfiguration):
@@ -46,7 +46,7 @@
     state.splits.forget_all()
     table = event.configuration.customers
     customers = table.customers.values() if table else ()
-    limits = limits_of(customers, state.settings.bounds.quota)
+    limits = quota_limits(customers, state.settings.bounds.quota)
     state.limits.follow(limits, event.now)
     yield Decision(DecisionKind.CONFIGURATION_APPLIED, str(version))
 
@@ -57,9 +57,9 @@
 ) -> Iterator[Effect]:
     """Take in the complete list of upstreams."""
     state.seen.add(StoreKind.UPSTREAMS)
-    state.mirror.note_list(event.revision)
-    listed = {record.listed_as for record in event.records}
-    listed.update(state.catalog.lives)
+    state.store_sync.note_list(event.revision)
+    listed = {record.discovery_id for record in event.records}
+    listed.update(state.catalog.current_incarnations)
     before = _beliefs(state, listed, event.now)
     state.catalog.replace(event.records, event.now)
     yield from _differences(state, listed, before, event.now)
@@ -70,9 +70,9 @@
     event: UpstreamsChanged,
 ) -> Iterator[Effect]:
     """Take in changes of upstreams."""
-    changed = {record.listed_as for record in event.records}
+    changed = {record.discovery_id for record in event.records}
     changed.update(event.removed)
-    state.mirror.note_changes(sorted(changed), event.revision)
+    state.store_sync.note_changes(sorted(changed), event.revision)
     before = _beliefs(state, changed, event.now)
     state.catalog.change(event.records, event.removed, event.now)
     yield from _differences(state, changed, before, event.now)
@@ -84,7 +84,7 @@
 ) -> Iterator[Effect]:
     """Take in the zones that are to be left alone."""
     state.seen.add(StoreKind.EVACUATIONS)
-    state.mirror.note(StoreKind.EVACUATIONS, event.revision)
+    state.store_sync.note(StoreKind.EVACUATIONS, event.revision)
     if event.zones != state.catalog.evacuated:
         state.catalog.evacuate(event.zones)
         zones = ','.join(sorted(event.zones))
@@ -162,7 +162,7 @@
     What is out there is answered no more: it ends at once, and goes elsewhere
     if it may be repeated, instead of waiting until its deadline.
     """
-    successor = state.catalog.listed(record.listed_as)
+    successor = state.catalog.listed(record.discovery_id)
     if successor is None:
         return
     yield Decision(
@@ -173,7 +173,7 @@
     yield DropConnections(record.address)
     for request in state.requests.values():
         if request.upstream == record.name:
-            request.moving = True
+            request.rerouting = True
             yield CancelAttempt(request.number)
 
 
--- a/worksrail/core/steering/_on_answers.py
+++ b/worksrail/core/steering/_on_store_answers.py
@@ -4,13 +4,13 @@
 from math import inf
 from typing import Any, Final, Protocol
 
-from worksrail.core.steering._pulse import CHECK_INTERVAL
+from worksrail.core.steering._store_health import CHECK_INTERVAL
 from worksrail.core.steering.effects import (
-    AskStoreAnew,
     CheckStore,
     Decision,
     DecisionKind,
     Effect,
+    RestartStoreCalls,
 )
 from worksrail.core.steering.events import (
     StoreAnswered,
@@ -47,8 +47,8 @@
 ) -> Iterator[Effect]:
     """Trust the store again, what is missing only after a while."""
     yield from _hear(state, event.now)
-    if event.kind in state.lost:
-        state.lost.discard(event.kind)
+    if event.kind in state.failing_kinds:
+        state.failing_kinds.discard(event.kind)
         yield Decision(DecisionKind.STORE_REGAINED, event.kind.value)
 
 
@@ -57,30 +57,30 @@
     event: StoreChecked,
 ) -> Iterator[Effect]:
     """Learn whether the store answers, whatever waits for it meanwhile."""
-    pulse = state.catalog.pulse
-    pulse.checking = False
+    store_health = state.catalog.store_health
+    store_health.checking = False
     if not event.failure:
         yield from _hear(state, event.now)
-        if pulse.silent:
-            pulse.silent = False
-            yield AskStoreAnew()
+        if store_health.silent:
+            store_health.silent = False
+            yield RestartStoreCalls()
         return
     if not state.watching:
         return
-    pulse.silent = True
+    store_health.silent = True
     for kind in StoreKind:
         yield from _lose(state, kind, event.failure, event.waited)
 
 
 def check_store(state: SteeringState, now: float) -> Iterator[Effect]:
     """Check the store from time to time while this entry reads it."""
-    pulse = state.catalog.pulse
+    store_health = state.catalog.store_health
     if not state.watching:
-        pulse.cease_to_ask()
-    elif now >= pulse.next_check_at and not pulse.checking:
-        pulse.checking = True
-        pulse.next_check_at = now + CHECK_INTERVAL
-        pulse.note_asked(now)
+        store_health.cease_to_ask()
+    elif now >= store_health.next_check_at and not store_health.checking:
+        store_health.checking = True
+        store_health.next_check_at = now + CHECK_INTERVAL
+        store_health.record_call(now)
         yield CheckStore()
 
 
@@ -90,19 +90,19 @@
     now: float,
 ) -> Iterator[Effect]:
     """Take in what another entry tells of the store's answers."""
-    pulse = state.catalog.pulse
-    ended_at, returned_at = pulse.gap_ended_at, pulse.returned_at
-    pulse.hear_age(told.store_age, now)
-    pulse.hear_return(told.store_return, now)
+    store_health = state.catalog.store_health
+    ended_at, returned_at = store_health.gap_ended_at, store_health.returned_at
+    store_health.hear_age(told.store_age, now)
+    store_health.hear_return(told.store_return, now)
     yield from _explain_gap(state, ended_at, returned_at)
 
 
 def _hear(state: SteeringState, now: float) -> Iterator[Effect]:
     """Take in an answer to this entry."""
-    pulse = state.catalog.pulse
-    ended_at, returned_at = pulse.gap_ended_at, pulse.returned_at
-    in_vain = pulse.time_in_vain(now)
-    pulse.take_answer(now)
+    store_health = state.catalog.store_health
+    ended_at, returned_at = store_health.gap_ended_at, store_health.returned_at
+    in_vain = store_health.time_in_vain(now)
+    store_health.record_own_answer(now)
     yield from _explain_gap(state, ended_at, returned_at, in_vain)
 
 
@@ -116,15 +116,18 @@
 
     The times are those of the last gap and of the last return before.
     """
-    pulse = state.catalog.pulse
-    outage = pulse.returned_at > returned_at
-    heard_again = ended_at > -inf and pulse.gap_ended_at > ended_at
+    store_health = state.catalog.store_health
+    outage = store_health.returned_at > returned_at
+    heard_again = ended_at > -inf and store_health.gap_ended_at > ended_at
     if not (outage or heard_again):
         return
     yield Decision(
         DecisionKind.STORE_BACK if outage else DecisionKind.STORE_UNHEARD,
         inputs=(
-            ('away', round(pulse.gap_ended_at - pulse.gap_began_at, 3)),
+            (
+                'away',
+                round(store_health.gap_ended_at - store_health.gap_began_at, 3),
+            ),
             ('asked', round(in_vain, 3)),
         ),
     )
@@ -136,9 +139,9 @@
     reason: str,
     waited: float,
 ) -> Iterator[Effect]:
-    if kind in state.lost:
+    if kind in state.failing_kinds:
         return
-    state.lost.add(kind)
+    state.failing_kinds.add(kind)
     yield Decision(
         DecisionKind.STORE_LOST,
         kind.value,
--- a/worksrail/core/steering/_on_time.py
+++ b/worksrail/core/steering/_on_time.py
@@ -4,18 +4,18 @@
 from typing import Final
 
 from worksrail.core.identity import RegionName
-from worksrail.core.steering._admitting import tend_limits
-from worksrail.core.steering._on_answers import check_store
+from worksrail.core.steering._admitting import maintain_limits
 from worksrail.core.steering._on_digests import (
     forget_silent_zones,
     tell,
     tell_at_once,
 )
 from worksrail.core.steering._on_store import expire_upstreams
-from worksrail.core.steering._pacing import tend_pacing
+from worksrail.core.steering._on_store_answers import check_store
+from worksrail.core.steering._pacing import maintain_pacing
 from worksrail.core.steering._routes import RoutingConfiguration
-from worksrail.core.steering._silence import move_from_silent
-from worksrail.core.steering._watching import keep_up
+from worksrail.core.steering._store_watch import keep_up
+from worksrail.core.steering._unresponsive import move_from_silent
 from worksrail.core.steering.effects import (
     Decision,
     DecisionKind,
@@ -47,7 +47,7 @@
     if event.now >= state.next_upkeep_at:
         yield from _look_around(state, event.now)
     yield from check_store(state, event.now)
-    yield from tend_pacing(state, event.now)
+    yield from maintain_pacing(state, event.now)
     if event.now >= state.next_digest_at:
         yield from tell(state, event.now)
     yield from _exit_when_done(state, event.now)
@@ -73,12 +73,12 @@
     """The process stood still: what others told meanwhile is unknown."""
     if gap < _PAUSE:
         return
-    for name in tuple(state.loads.told):
+    for name in tuple(state.loads.reported):
         state.loads.forget(name)
-    state.limits.note_pause(now)
-    state.rates.named.note_pause()
-    state.budgets.note_pause(now)
-    state.catalog.pulse.note_pause(now)
+    state.limits.handle_pause(now)
+    state.rates.named.handle_pause()
+    state.budgets.handle_pause(now)
+    state.catalog.store_health.handle_pause(now)
     yield Decision(DecisionKind.PAUSED, inputs=(('seconds', round(gap, 3)),))
 
 
@@ -89,7 +89,7 @@
     yield from keep_up(state, now)
     _move_homes(state, now)
     _tend_budgets(state, now)
-    yield from tend_limits(state, now)
+    yield from maintain_limits(state, now)
 
 
 def _note_deaths(state: SteeringState, now: float) -> Iterator[Effect]:
@@ -97,9 +97,9 @@
     for name in dead:
         if name not in state.dead:
             state.dead.add(name)
-            if name in state.loads.told:
+            if name in state.loads.reported:
                 state.loads.forget(name)
-            heard = state.fleet.entries[name].heard_at
+            heard = state.fleet.entries[name].received_at
             yield Decision(
                 DecisionKind.ENTRY_LOST,
                 name,
@@ -114,20 +114,20 @@
     staying = [one for one in entries if not one.contact.leaving]
     live = sum(entry.alive(now) for entry in staying)
     state.budgets.follow(state.settings.bounds.repeats, now)
-    state.budgets.join(1 + live, 1 + len(staying))
-    state.budgets.tend(now)
+    state.budgets.set_fleet_size(1 + live, 1 + len(staying))
+    state.budgets.maintain(now)
 
 
 def _move_homes(state: SteeringState, now: float) -> None:
     """Let the homes of keys follow where requests come from."""
-    nearness = state.nearness
-    if not nearness.is_due(now):
+    region_shares = state.region_shares
+    if not region_shares.is_due(now):
         return
-    nearness.count(_rates(state, now), now)
+    region_shares.observe_demand(_rates(state, now), now)
     region = state.settings.region
-    for service in tuple(nearness.shares):
-        shared = state.sharing.is_shared(service, region, now)
-        nearness.follow(state.catalog, service, region, shared=shared)
+    for service in tuple(region_shares.shares):
+        shared = state.key_overlap.is_shared(service, region, now)
+        region_shares.follow(state.catalog, service, region, shared=shared)
 
 
 def _rates(state: SteeringState, now: float) -> dict[RegionName, float]:
--- a/worksrail/core/steering/_pacing.py
+++ b/worksrail/core/steering/_pacing.py
@@ -3,11 +3,11 @@
 from collections.abc import Collection, Iterable, Iterator
 
 from worksrail.core.pacing import (
+    AdvertisedLimit,
     LimitChange,
     NoRate,
     TokenRequest,
-    ToldLimit,
-    hear_limits,
+    receive_limits,
 )
 from worksrail.core.steering._members import members_by_region
 from worksrail.core.steering._placing import drop, place
@@ -47,14 +47,14 @@
         yield _decision(change, request.number)
 
 
-def hear_of_limits(
+def receive_named_limits(
     state: SteeringState,
-    told: Iterable[ToldLimit],
+    told: Iterable[AdvertisedLimit],
     now: float,
 ) -> Iterator[Decision]:
     """Take in what another entry tells of limits that upstreams name."""
     known = state.catalog.upstreams
-    for change in hear_limits(state.rates.named, told, known, now):
+    for change in receive_limits(state.rates.named, told, known, now):
         yield _decision(change)
 
 
@@ -65,23 +65,23 @@
     """Issue tokens, or go on with the requests that waited for some."""
     now = event.now
     message = event.message
-    yield from hear_of_limits(state, message.limits, now)
+    yield from receive_named_limits(state, message.limits, now)
     pacer = state.rates.named
     if isinstance(message, TokenRequest):
         yield SendPacingMessage(message.peer, pacer.serve(message, now))
     else:
-        yield from _resume(state, pacer.take(message, now), now)
+        yield from _resume(state, pacer.receive_grant(message, now), now)
 
 
-def tend_pacing(state: SteeringState, now: float) -> Iterator[Effect]:
+def maintain_pacing(state: SteeringState, now: float) -> Iterator[Effect]:
     """Follow who issues tokens; ask, return, and give up on who is silent."""
     pacer = state.rates.named
     if not pacer.has_limits:
         return
-    if pacer.is_look_due(now) and state.settled(now):
+    if pacer.is_group_update_due(now) and state.settled(now):
         pacer.forget(state.catalog.upstreams, now)
         pacer.follow(members_by_region(state, now), now)
-    yield from _resume(state, pacer.give_up(now), now)
+    yield from _resume(state, pacer.expire_requests(now), now)
     yield from send_token_requests(state, now)
 
 
@@ -130,6 +130,6 @@
                 'before',
                 -1 if change.before is None else round(change.before, 3),
             ),
-            ('told', int(change.told)),
+            ('told', int(change.from_peer)),
         ),
     )
--- a/worksrail/core/steering/_placing.py
+++ b/worksrail/core/steering/_placing.py
@@ -8,13 +8,13 @@
 from worksrail.core.quarantine import label
 from worksrail.core.results import ResultCode
 from worksrail.core.steering._choosing import Choice, choose
-from worksrail.core.steering._quarantining import hold_time, note_sent
+from worksrail.core.steering._quarantining import hold_time, record_sent
 from worksrail.core.steering._request import SteeredRequest
 from worksrail.core.steering._routes import RoutingConfiguration
 from worksrail.core.steering._tokens import (
     await_token,
+    delay_until_token,
     obtain_token,
-    pause_until_token,
 )
 from worksrail.core.steering.effects import (
     AnswerResult,
@@ -54,9 +54,9 @@
     choice, permission = _choose_permitted(state, request, now)
     if isinstance(choice, ResultCode):
         limited = choice is ResultCode.UPSTREAMS_LIMITED
-        pause = pause_until_token(state, request, now) if limited else 0
+        pause = delay_until_token(state, request, now) if limited else 0
         yield from refuse(state, request, choice, now, pause=pause)
-    elif permission is Permission.ASKABLE:
+    elif permission is Permission.TOKEN_NEEDED:
         yield from await_token(state, request, choice.upstream.name, now)
     else:
         yield from _send(state, request, choice, now)
@@ -100,22 +100,22 @@
     kind = DecisionKind.REQUEST_SENT
     if request.sends:
         kind = DecisionKind.REQUEST_REPEATED
-    load.note_sent(now)
+    load.record_sent(now)
     request.attempts += 1
     request.sends += 1
     request.upstream = upstream.name
     request.sent_at = now
-    request.expected = choice.wait + choice.work
+    request.expected_time = choice.wait + choice.work
     request.warm = choice.warm
     request.queue = choice.queue
     if upstream.cold_until > now:
-        state.rates.cold.note_sent(upstream.name, now)
-    state.rates.named.note_sent(upstream.name, now)
-    yield from note_sent(state, request, now)
+        state.rates.cold.record_sent(upstream.name, now)
+    state.rates.named.record_sent(upstream.name, now)
+    yield from record_sent(state, request, now)
     yield SendUpstream(
         request.number,
         request.attempts,
-        upstream.record.listed_as,
+        upstream.record.discovery_id,
         upstream.record.address,
         request.deadline,
         request.deadline + _ANSWER_MARGIN,
@@ -162,7 +162,7 @@
     """
     state.requests.pop(request.number)
     kind = DecisionKind.REQUEST_REFUSED
-    retry_after = pause or retry_pause(state)
+    retry_after = pause or retry_delay(state)
     if request.maybe_executed:
         # Only what was never executed may be called refused.
         kind = DecisionKind.REQUEST_FAILED
@@ -186,7 +186,7 @@
     yield AnswerResult(request.number, code, retry_after)
 
 
-def retry_pause(state: SteeringState) -> float:
+def retry_delay(state: SteeringState) -> float:
     """Seconds after which a refused caller shall come back."""
     spread = state.rng.uniform(*_RETRY_SPREAD)
     return round(min(_LONGEST_RETRY, _SHORTEST_RETRY * spread), 3)
--- a/worksrail/core/steering/_quarantining.py
+++ b/worksrail/core/steering/_quarantining.py
@@ -5,9 +5,9 @@
 
 from worksrail.core.quarantine import (
     CRASHES_UNTIL_HELD,
+    AdvertisedCrashes,
     Crash,
     Fingerprint,
-    ToldCrashes,
     fingerprint,
     label,
 )
@@ -52,7 +52,7 @@
     )
 
 
-def note_sent(
+def record_sent(
     state: SteeringState,
     request: SteeredRequest,
     now: float,
@@ -72,17 +72,17 @@
     """Take in what the end of an attempt says of the request itself."""
     quarantine = state.quarantine
     if event.outcome is AttemptOutcome.ANSWERED:
-        cleared = quarantine.note_answer(request.fingerprint, event.now)
+        cleared = quarantine.record_response(request.fingerprint, event.now)
         if cleared:
             yield _decision(DecisionKind.QUARANTINE_CLEARED, request, cleared)
     elif event.outcome in _BROKEN:
         crash = Crash(
             request.upstream,
             request.crash_number,
-            state.loads.of(request.upstream).well_at,
+            state.loads.of(request.upstream).last_success_at,
             request.sent_at,
         )
-        crashes = quarantine.note_crash(request.fingerprint, crash, event.now)
+        crashes = quarantine.record_crash(request.fingerprint, crash, event.now)
         request.crash_number = 0
         yield _decision(
             DecisionKind.CRASH_SUSPECTED,
@@ -95,14 +95,14 @@
             yield _decision(DecisionKind.QUARANTINED, request, crashes)
 
 
-def hear_of_crashes(
+def receive_crashes(
     state: SteeringState,
-    crashes: Iterable[ToldCrashes],
+    crashes: Iterable[AdvertisedCrashes],
     now: float,
 ) -> Iterator[Decision]:
     """Take in what another entry tells of requests that crash upstreams."""
     for told in crashes:
-        if state.quarantine.take(told, now):
+        if state.quarantine.receive(told, now):
             yield Decision(
                 DecisionKind.QUARANTINED,
                 label(told.fingerprint),
--- a/worksrail/core/steering/_rates.py
+++ b/worksrail/core/steering/_rate_limits.py
@@ -5,7 +5,7 @@
 
 from worksrail.core.pacing import Pacer
 from worksrail.core.steering._catalog import Catalog
-from worksrail.core.steering._cold import ColdLimits
+from worksrail.core.steering._cold_limits import ColdLimits
 from worksrail.core.steering._settings import EntrySettings
 from worksrail.core.steering.events import RequestNumber
 
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True)
-class UpstreamRates:
+class UpstreamRateLimits:
     """Limits on what single upstreams get."""
 
     named: Pacer
@@ -41,7 +41,7 @@
         cls,
         settings: EntrySettings,
         catalog: Catalog,
-    ) -> 'UpstreamRates':
+    ) -> 'UpstreamRateLimits':
         """Begin an incarnation that knows of no limit."""
         return cls(
             Pacer(
--- a/worksrail/core/steering/_reducer.py
+++ b/worksrail/core/steering/_reducer.py
@@ -9,13 +9,13 @@
 
 from worksrail.core.steering import (
     _admitting,
-    _on_answers,
     _on_digests,
     _on_requests,
     _on_store,
+    _on_store_answers,
     _on_time,
     _pacing,
-    _watching,
+    _store_watch,
 )
 from worksrail.core.steering.effects import Effect
 from worksrail.core.steering.events import (
@@ -24,11 +24,11 @@
     DigestReceived,
     Event,
     LimitMessageReceived,
-    NewsFetched,
-    NewsMissed,
     PacingMessageReceived,
     RequestArrived,
     StopRequested,
+    StoreUpdateFailed,
+    StoreUpdateFetched,
     Ticked,
 )
 from worksrail.core.steering.state import SteeringState
@@ -37,13 +37,13 @@
 
 _HANDLERS: Final[dict[type, _Handler]] = {
     Ticked: _on_time.on_tick,
-    NewsFetched: _watching.on_fetched,
-    NewsMissed: _watching.on_missed,
+    StoreUpdateFetched: _store_watch.on_fetched,
+    StoreUpdateFailed: _store_watch.on_missed,
     DigestReceived: _on_digests.on_digest,
     LimitMessageReceived: _admitting.on_limit_message,
     PacingMessageReceived: _pacing.on_pacing_message,
     StopRequested: _on_time.on_stop,
-    **_on_answers.HANDLERS,
+    **_on_store_answers.HANDLERS,
     **_on_store.HANDLERS,
     RequestArrived: _on_requests.on_arrival,
     CallerGone: _on_requests.on_caller_gone,
--- a/worksrail/core/steering/_nearness.py
+++ b/worksrail/core/steering/_region_shares.py
@@ -76,7 +76,7 @@
 
 
 @dataclass(slots=True)
-class Nearness:
+class RegionShares:
     """The shares of the own region, by service; they move slowly."""
 
     demand: Shares
@@ -98,7 +98,7 @@
     """When to look next."""
 
     @classmethod
-    def from_regions(cls, regions: Iterable[RegionName]) -> 'Nearness':
+    def from_regions(cls, regions: Iterable[RegionName]) -> 'RegionShares':
         """Begin with regions that are taken to ask alike."""
         alike = _shares(dict.fromkeys(sorted(set(regions)), 1))
         return cls(alike, alike)
@@ -107,7 +107,9 @@
         """Whether to look again."""
         return now >= self.next_look_at
 
-    def count(self, rates: Mapping[RegionName, float], now: float) -> None:
+    def observe_demand(
+        self, rates: Mapping[RegionName, float], now: float
+    ) -> None:
         """Take in how many requests a second each region sends."""
         self.next_look_at = now + _INTERVAL
         if sum(rates.values()) <= 0:
--- a/worksrail/core/steering/_repeating.py
+++ b/worksrail/core/steering/_repeating.py
@@ -31,7 +31,7 @@
 )
 
 
-def denial_of(
+def repeat_denial(
     state: SteeringState,
     request: SteeredRequest,
     event: AttemptEnded,
@@ -85,6 +85,6 @@
     now: float,
 ) -> bool:
     """Whether one more attempt may still be answered within the target."""
-    usual = state.usual_time(request.service, request.expected)
+    usual = state.typical_time(request.service, request.expected_time)
     left = request.arrived_at + request.route.target_latency - now
     return left >= usual.typical
--- a/worksrail/core/steering/_request.py
+++ b/worksrail/core/steering/_request.py
@@ -31,7 +31,7 @@
     deadline: float
     """When its upstream must stop, and it gets its final answer."""
 
-    customer: Customer | NoCustomer = NoCustomer.NOT_ASKED
+    customer: Customer | NoCustomer = NoCustomer.KEY_NOT_REQUIRED
     """Whose request it is."""
 
     regions: frozenset[RegionName] = frozenset()
@@ -40,7 +40,7 @@
     admitted: bool = False
     """It counts against the quota of its customer."""
 
-    returned: bool = False
+    caller_retried: bool = False
     """The caller seems to have come back after a refusal."""
 
     attempts: int = 0
@@ -61,7 +61,7 @@
     sent_at: float = 0
     """When the last attempt began."""
 
-    expected: float = 0
+    expected_time: float = 0
     """Seconds which that attempt was expected to take."""
 
     queue: float = 0
@@ -70,13 +70,13 @@
     warm: bool = False
     """Whether its key was expected to be warm there."""
 
-    tokens_asked: int = 0
+    tokens_requested: int = 0
     """Tokens that it asked for."""
 
     tried: set[str] = field(default_factory=set)
     """Upstreams that it shall not go to again."""
 
-    moving: bool = False
+    rerouting: bool = False
     """Its attempt was cut off here because the upstream is silent."""
 
     fingerprint: Fingerprint = 0
--- a/worksrail/core/steering/_ring.py
+++ b/worksrail/core/steering/_ring.py
@@ -51,7 +51,7 @@
             record = upstream.record
             for slot in range(record.slots):
                 # An upstream keeps its points when it starts again.
-                place = f'{record.listed_as}|{slot}'.encode()
+                place = f'{record.discovery_id}|{slot}'.encode()
                 owners[xxhash.xxh64_intdigest(place)] = upstream.name
         return cls(sorted(owners), owners)
 
--- a/worksrail/core/steering/_pulse.py
+++ b/worksrail/core/steering/_store_health.py
@@ -32,14 +32,14 @@
 
 
 @dataclass(slots=True)
-class StorePulse:
+class StoreHealth:
     """When the store answered last, and when it came back from an outage.
 
-    >>> pulse = StorePulse(lapse_time=1.5)
-    >>> pulse.take_answer(10)
-    >>> pulse.note_asked(10.5)
-    >>> pulse.take_answer(19)
-    >>> pulse.returned_at
+    >>> store_health = StoreHealth(lapse_time=1.5)
+    >>> store_health.record_own_answer(10)
+    >>> store_health.record_call(10.5)
+    >>> store_health.record_own_answer(19)
+    >>> store_health.returned_at
     19
     """
 
@@ -71,7 +71,7 @@
     silent: bool = False
     """The last check of this entry failed."""
 
-    def note_asked(self, now: float) -> None:
+    def record_call(self, now: float) -> None:
         """The store is being asked by this entry."""
         if self.asked_at is None:
             self.asked_at = now
@@ -81,21 +81,21 @@
         self.silent = False
         self.asked_at = None
 
-    def note_pause(self, now: float) -> None:
+    def handle_pause(self, now: float) -> None:
         """The process stood still, and could not be answered meanwhile."""
         if self.asked_at is not None:
             self.asked_at = now
 
-    def take_answer(self, now: float) -> None:
+    def record_own_answer(self, now: float) -> None:
         """The store has answered this entry."""
         asked_in_vain = self.time_in_vain(now)
-        self.hear(now)
+        self.record_answer(now)
         self.asked_at = None
         # The first check after the last answer may begin this much later.
         if asked_in_vain >= self.lapse_time - CHECK_INTERVAL:
             self._confirm_outage(now)
 
-    def hear(self, at: float) -> None:
+    def record_answer(self, at: float) -> None:
         """The store has answered an entry."""
         if at <= self.answered_at:
             return
@@ -123,7 +123,7 @@
         """Seconds since the last answer; None if there was none."""
         return now - self.answered_at if self.answered_at > -inf else None
 
-    def told_age(self, now: float) -> int | None:
+    def advertised_age(self, now: float) -> int | None:
         """Tenths of a second since the last answer, for others.
 
         It is rounded up by a tenth at least, more than the way of a datagram:
@@ -133,7 +133,7 @@
         age = self.age(now)
         return None if age is None else ceil(age * _TENTHS) + 1
 
-    def told_return(self, now: float) -> int | None:
+    def advertised_return(self, now: float) -> int | None:
         """Tenths of a second since an outage ended, for others.
 
         None unless upstreams may still return from it.  It is rounded down, so
@@ -146,7 +146,7 @@
     def hear_age(self, tenths: int | None, now: float) -> None:
         """Another entry has told how long ago the store answered."""
         if tenths is not None:
-            self.hear(now - tenths / _TENTHS)
+            self.record_answer(now - tenths / _TENTHS)
 
     def hear_return(self, tenths: int | None, now: float) -> None:
         """Another entry has told how long ago an outage ended."""
--- a/worksrail/core/steering/_news.py
+++ b/worksrail/core/steering/_store_sync.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StoreNews:
+class StoreUpdate:
     """What is new of one kind of object, decoded."""
 
     revision: int
@@ -58,7 +58,7 @@
 
 
 @dataclass(slots=True)
-class Mirror:
+class StoreSync:
     """How far this entry knows the store, and what changed when."""
 
     revisions: dict[StoreKind, int] = field(
@@ -94,7 +94,7 @@
             self.floor = max(self.floor, self.changed.pop(oldest))
         self.note(StoreKind.UPSTREAMS, revision)
 
-    def upstreams_since(self, catalog: Catalog, since: int) -> StoreNews:
+    def upstreams_since(self, catalog: Catalog, since: int) -> StoreUpdate:
         """What has changed of upstreams since a revision."""
         revision = self.revisions[StoreKind.UPSTREAMS]
         if since <= 0 or since < self.floor:
@@ -106,8 +106,8 @@
             for upstream in known
             if upstream and upstream.name not in catalog.missing
         ]
-        there = {record.listed_as for record in listed}
-        return StoreNews(
+        there = {record.discovery_id for record in listed}
+        return StoreUpdate(
             revision,
             records=tuple(listed),
             # What is missing is no more listed than what is gone: whoever is
@@ -116,13 +116,13 @@
         )
 
 
-def _everything(catalog: Catalog, revision: int) -> StoreNews:
+def _everything(catalog: Catalog, revision: int) -> StoreUpdate:
     listed: list[UpstreamRecord] = []
     missing: list[UpstreamRecord] = []
     for name, upstream in catalog.upstreams.items():
         there = missing if name in catalog.missing else listed
         there.append(upstream.record)
-    return StoreNews(
+    return StoreUpdate(
         revision,
         records=tuple(listed),
         missing=tuple(missing),
--- a/worksrail/core/steering/_watching.py
+++ b/worksrail/core/steering/_store_watch.py
@@ -12,23 +12,23 @@
 
 from worksrail.core.steering import _on_store
 from worksrail.core.steering._digests import Contact
-from worksrail.core.steering._news import StoreNews
-from worksrail.core.steering._on_answers import hear_of_store
 from worksrail.core.steering._on_digests import own_contact, tell_at_once
+from worksrail.core.steering._on_store_answers import hear_of_store
 from worksrail.core.steering._routes import RoutingConfiguration
+from worksrail.core.steering._store_sync import StoreUpdate
 from worksrail.core.steering.effects import (
     Decision,
     DecisionKind,
     Effect,
-    FetchNews,
-    FollowStore,
+    FetchStoreUpdate,
     ListStore,
+    WatchStore,
 )
 from worksrail.core.steering.events import (
     ConfigurationRead,
     EvacuationsRead,
-    NewsFetched,
-    NewsMissed,
+    StoreUpdateFailed,
+    StoreUpdateFetched,
     UpstreamsChanged,
     UpstreamsListed,
 )
@@ -58,24 +58,29 @@
         state.watching = watching
         if not watching:
             # Others tell from now on; what the store does is their matter.
-            state.lost.clear()
+            state.failing_kinds.clear()
         yield Decision(DecisionKind.WATCH, 'begun' if watching else 'ended')
-        yield FollowStore(watching)
+        yield WatchStore(watching)
     others = _tellers(state, now)
     for kind in StoreKind:
         yield from _catch_up(state, kind, others, now)
-    told = (tuple(state.mirror.revisions.values()), bool(state.lost))
+    told = (
+        tuple(state.store_sync.revisions.values()),
+        bool(state.failing_kinds),
+    )
     if told != state.told:
         # Others wait for news, or have to read in this one's place.
         state.told = told
         tell_at_once(state, now)
 
 
-def on_fetched(state: SteeringState, event: NewsFetched) -> Iterator[Effect]:
+def on_fetched(
+    state: SteeringState, event: StoreUpdateFetched
+) -> Iterator[Effect]:
     """Take in what another entry told of the store."""
     state.fetching.discard(event.kind)
     news = event.news
-    if news.revision <= state.mirror.revisions[event.kind]:
+    if news.revision <= state.store_sync.revisions[event.kind]:
         # Meanwhile more has become known here than was told.
         return
     # Whether it has been away decides what removals mean.
@@ -88,7 +93,9 @@
     yield from _apply(state, event.kind, news, event.now)
 
 
-def on_missed(state: SteeringState, event: NewsMissed) -> Iterator[Effect]:
+def on_missed(
+    state: SteeringState, event: StoreUpdateFailed
+) -> Iterator[Effect]:
     """Another entry did not tell; the next attempt may ask another one."""
     state.fetching.discard(event.kind)
     yield Decision(
@@ -98,39 +105,39 @@
     )
 
 
-def news_since(
+def store_update_since(
     state: SteeringState,
     kind: StoreKind,
     since: int,
     now: float,
-) -> StoreNews:
+) -> StoreUpdate:
     """What this entry knows of a kind beyond a revision."""
-    mirror = state.mirror
-    revision = mirror.revisions[kind]
+    store_sync = state.store_sync
+    revision = store_sync.revisions[kind]
     if kind is StoreKind.UPSTREAMS:
-        news = mirror.upstreams_since(state.catalog, since)
-        return StoreNews(
+        news = store_sync.upstreams_since(state.catalog, since)
+        return StoreUpdate(
             news.revision,
             records=news.records,
             missing=news.missing,
             removed=news.removed,
             complete=news.complete,
-            store_age=state.catalog.pulse.told_age(now),
-            store_return=state.catalog.pulse.told_return(now),
+            store_age=state.catalog.store_health.advertised_age(now),
+            store_return=state.catalog.store_health.advertised_return(now),
         )
     if kind is StoreKind.EVACUATIONS:
         zones = tuple(sorted(state.catalog.evacuated))
-        return StoreNews(revision, zones=zones, complete=True)
+        return StoreUpdate(revision, zones=zones, complete=True)
     configuration = state.configuration
     if isinstance(configuration, RoutingConfiguration):
-        return StoreNews(revision, configuration, complete=True)
-    return StoreNews(0)
+        return StoreUpdate(revision, configuration, complete=True)
+    return StoreUpdate(0)
 
 
 def _shall_list(state: SteeringState, now: float) -> bool:
     if state.listed or state.leaving:
         return False
-    return not all(state.mirror.revisions.values())
+    return not all(state.store_sync.revisions.values())
 
 
 def _shall_watch(state: SteeringState, now: float) -> bool:
@@ -139,7 +146,7 @@
     age = now - state.started_at
     if age < _UNDECIDED:
         return False
-    if age > _PATIENCE and not all(state.mirror.revisions.values()):
+    if age > _PATIENCE and not all(state.store_sync.revisions.values()):
         return True
     own = own_contact(state, now)
     return own in state.fleet.store_readers(own, _WATCHERS, now)
@@ -151,20 +158,20 @@
     others: list[Contact],
     now: float,
 ) -> Iterator[Effect]:
-    known = state.mirror.revisions[kind]
+    known = state.store_sync.revisions[kind]
     ahead = [other for other in others if other.revision(kind) > known]
     if not ahead:
         state.behind_since.pop(kind, None)
         return
     behind = now - state.behind_since.setdefault(kind, now)
-    answered = state.watching and not state.lost
+    answered = state.watching and not state.failing_kinds
     patience = _WATCHER_LAG if answered else 0
     if behind >= patience and kind not in state.fetching:
         state.fetching.add(kind)
         zone = state.settings.zone
         near = [other for other in ahead if other.zone == zone]
         source = state.rng.choice(near or ahead)
-        yield FetchNews(kind, source.peer, known)
+        yield FetchStoreUpdate(kind, source.peer, known)
 
 
 def _tellers(state: SteeringState, now: float) -> list[Contact]:
@@ -172,16 +179,16 @@
 
     Only the speaker asks other zones, for all of its own.
     """
-    mates = state.fleet.mates(now)
-    if state.fleet.is_speaker(own_contact(state, now), now):
-        return mates + state.fleet.far(now)
-    return mates
+    zone_peers = state.fleet.zone_peers(now)
+    if state.fleet.is_relay(own_contact(state, now), now):
+        return zone_peers + state.fleet.far(now)
+    return zone_peers
 
 
 def _apply(
     state: SteeringState,
     kind: StoreKind,
-    news: StoreNews,
+    news: StoreUpdate,
     now: float,
 ) -> Iterator[Effect]:
     revision = news.revision
@@ -200,7 +207,7 @@
         yield from _on_store.on_listed(
             state, UpstreamsListed(now, known, revision)
         )
-        gone = tuple(record.listed_as for record in news.missing)
+        gone = tuple(record.discovery_id for record in news.missing)
         yield from _on_store.on_changed(
             state, UpstreamsChanged(now, (), gone, revision)
         )
--- a/worksrail/core/steering/_tokens.py
+++ b/worksrail/core/steering/_tokens.py
@@ -20,7 +20,7 @@
 
 def may_ask_for_token(request: SteeredRequest) -> bool:
     """Whether a request may still ask for a token."""
-    return request.tokens_asked < _MOST_ASKED
+    return request.tokens_requested < _MOST_ASKED
 
 
 def obtain_token(
@@ -31,8 +31,8 @@
 ) -> Permission:
     """Whether a request may go to an upstream, with a token if it needs one."""
     pacer = state.rates.named
-    if pacer.permission(upstream, now) is Permission.ASKABLE:
-        request.tokens_asked += 1
+    if pacer.permission(upstream, now) is Permission.TOKEN_NEEDED:
+        request.tokens_requested += 1
     return pacer.obtain(upstream, now)
 
 
@@ -55,11 +55,11 @@
     for_all: bool = True,
 ) -> Iterator[SendPacingMessage]:
     """Ask for the tokens that are wanted, and return those not used."""
-    for addressed in state.rates.named.ask(now, for_all=for_all):
+    for addressed in state.rates.named.make_requests(now, for_all=for_all):
         yield SendPacingMessage(addressed.peer, addressed.request)
 
 
-def pause_until_token(
+def delay_until_token(
     state: SteeringState,
     request: SteeredRequest,
     now: float,
--- a/worksrail/core/steering/_silence.py
+++ b/worksrail/core/steering/_unresponsive.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterator
 
-from worksrail.core.steering._learning import SILENCE
+from worksrail.core.steering._learning import SILENCE_FACTOR
 from worksrail.core.steering._request import SteeredRequest
 from worksrail.core.steering._routes import RouteKind
 from worksrail.core.steering.effects import (
@@ -27,14 +27,14 @@
         if not _is_silent(state, request, now):
             continue
         load = state.loads.of(request.upstream)
-        request.moving = True
+        request.rerouting = True
         if request.upstream not in silent:
             silent.add(request.upstream)
             yield Decision(
                 DecisionKind.UPSTREAM_SILENT,
                 request.upstream,
                 inputs=(
-                    ('since', round(now - load.owing_since, 3)),
+                    ('since', round(now - load.unanswered_since, 3)),
                     ('own', load.own),
                 ),
             )
@@ -48,17 +48,17 @@
 ) -> bool:
     upstream = state.catalog.upstreams.get(request.upstream)
     slots = upstream.record.slots if upstream else 1
-    usual = state.usual_time(request.service, request.expected).typical
+    usual = state.typical_time(request.service, request.expected_time).typical
     load = state.loads.of(request.upstream)
     return load.is_silent(usual, slots, now)
 
 
 def _may_move(request: SteeredRequest, now: float) -> bool:
-    if request.moving or request.caller_gone or not request.route.idempotent:
+    if request.rerouting or request.caller_gone or not request.route.idempotent:
         return False
     if request.sends >= request.route.max_attempts:
         return False
     # Downloads may be on their way for long.
     if request.route.kind is RouteKind.DOWNLOAD:
         return False
-    return now - request.sent_at > SILENCE * request.expected
+    return now - request.sent_at > SILENCE_FACTOR * request.expected_time
--- a/worksrail/core/steering/_warmth.py
+++ b/worksrail/core/steering/_warm_keys.py
@@ -4,7 +4,7 @@
 from typing import Final
 
 from worksrail.core.identity import ServiceName
-from worksrail.core.steering._load import LearnedTime
+from worksrail.core.steering._load import LatencyEwma
 from worksrail.core.steering._routes import Route
 
 # First guesses as shares of a route's target latency, until answers teach
@@ -21,10 +21,10 @@
 class RouteTimes:
     """Times of executions on one route."""
 
-    warm: LearnedTime
+    warm: LatencyEwma
     """Where the key is warm."""
 
-    cold: LearnedTime
+    cold: LatencyEwma
     """Where it is not."""
 
     @property
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True)
-class Warmth:
+class WarmKeys:
     """What this entry has learned of warm keys."""
 
     times: dict[tuple[str, ServiceName], RouteTimes] = field(
@@ -52,8 +52,8 @@
         times = self.times.get((route.name, service))
         if times is None:
             times = RouteTimes(
-                LearnedTime(route.target_latency * _WARM_GUESS),
-                LearnedTime(route.target_latency * _COLD_GUESS),
+                LatencyEwma(route.target_latency * _WARM_GUESS),
+                LatencyEwma(route.target_latency * _COLD_GUESS),
             )
             self.times[route.name, service] = times
         return times
--- a/worksrail/core/steering/_reach.py
+++ b/worksrail/core/steering/_zone_reachability.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True)
-class ZoneReach:
+class ZoneFailures:
     """What attempts have told of one zone."""
 
     unreached: set[str] = field(default_factory=set)
@@ -29,31 +29,34 @@
 
 
 @dataclass(slots=True)
-class Reach:
+class ZoneReachability:
     """Leaves a zone alone that lost its power or is cut off.
 
     Without this, each of its upstreams has to be found out by itself, and
     every attempt costs a request the time that a connection may take.
     """
 
-    zones: dict[ZoneName, ZoneReach] = field(default_factory=dict)
+    zones: dict[ZoneName, ZoneFailures] = field(default_factory=dict)
     """Zones in which an upstream could not be reached."""
 
-    def is_out(self, zone: ZoneName, now: float) -> bool:
+    def is_excluded(self, zone: ZoneName, now: float) -> bool:
         """Whether a zone is left alone."""
-        reach = self.zones.get(zone)
-        return reach is not None and reach.out_until > now
+        reachability = self.zones.get(zone)
+        return reachability is not None and reachability.out_until > now
 
-    def note_unreached(self, zone: ZoneName, name: str, now: float) -> bool:
+    def record_unreachable(self, zone: ZoneName, name: str, now: float) -> bool:
         """An upstream was not reached; true if its zone is left alone now."""
-        reach = self.zones.setdefault(zone, ZoneReach())
-        reach.unreached.add(name)
-        if len(reach.unreached) < _UNREACHED or reach.out_until > now:
+        reachability = self.zones.setdefault(zone, ZoneFailures())
+        reachability.unreached.add(name)
+        if (
+            len(reachability.unreached) < _UNREACHED
+            or reachability.out_until > now
+        ):
             return False
-        reach.out_until = now + reach.pause
-        reach.pause = min(_LONGEST_PAUSE, reach.pause * 2)
+        reachability.out_until = now + reachability.pause
+        reachability.pause = min(_LONGEST_PAUSE, reachability.pause * 2)
         return True
 
-    def note_reached(self, zone: ZoneName) -> None:
+    def record_reachable(self, zone: ZoneName) -> None:
         """An upstream of a zone has answered."""
         self.zones.pop(zone, None)
--- a/worksrail/core/steering/effects.py
+++ b/worksrail/core/steering/effects.py
@@ -103,7 +103,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FollowStore:
+class WatchStore:
     """Begin or cease to read the store."""
 
     active: bool
@@ -121,7 +121,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskStoreAnew:
+class RestartStoreCalls:
     """Give up calls to the store that wait, and make them again.
 
     What was asked of a store that has been silent since may never be answered.
@@ -129,7 +129,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FetchNews:
+class FetchStoreUpdate:
     """Ask another entry what is new in the store."""
 
     kind: StoreKind
@@ -229,11 +229,11 @@
     | SendLimitMessage
     | SendPacingMessage
     | DropConnections
-    | FollowStore
+    | WatchStore
     | ListStore
     | CheckStore
-    | AskStoreAnew
-    | FetchNews
+    | RestartStoreCalls
+    | FetchStoreUpdate
     | ExitProcess
     | Decision
 )
--- a/worksrail/core/steering/events.py
+++ b/worksrail/core/steering/events.py
@@ -12,8 +12,8 @@
 from worksrail.core.pacing import NamedLimit, PacingMessage
 from worksrail.core.steering._catalog import UpstreamRecord
 from worksrail.core.steering._digests import Digest
-from worksrail.core.steering._news import StoreNews
 from worksrail.core.steering._routes import RoutingConfiguration
+from worksrail.core.steering._store_sync import StoreUpdate
 from worksrail.core.steering.kinds import StoreKind
 
 RequestNumber = int
@@ -184,7 +184,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NewsFetched:
+class StoreUpdateFetched:
     """Another entry told what is new in the store."""
 
     now: float
@@ -196,12 +196,12 @@
     peer: str
     """Peer address of that entry."""
 
-    news: StoreNews
+    news: StoreUpdate
     """What it told."""
 
 
 @dataclass(frozen=True, slots=True)
-class NewsMissed:
+class StoreUpdateFailed:
     """Another entry did not tell what is new in the store."""
 
     now: float
@@ -324,8 +324,8 @@
     | StoreLost
     | StoreAnswered
     | StoreChecked
-    | NewsFetched
-    | NewsMissed
+    | StoreUpdateFetched
+    | StoreUpdateFailed
     | DigestReceived
     | LimitMessageReceived
     | PacingMessageReceived
--- a/worksrail/core/steering/state.py
+++ b/worksrail/core/steering/state.py
@@ -12,29 +12,29 @@
 from worksrail.core.steering._affinity import Affinity
 from worksrail.core.steering._catalog import Catalog
 from worksrail.core.steering._fleet import Fleet
-from worksrail.core.steering._load import LearnedTime, LoadTable
-from worksrail.core.steering._nearness import Nearness
-from worksrail.core.steering._news import Mirror
-from worksrail.core.steering._rates import UpstreamRates
-from worksrail.core.steering._reach import Reach
+from worksrail.core.steering._key_overlap import KeyOverlap
+from worksrail.core.steering._load import LatencyEwma, LoadTable
+from worksrail.core.steering._rate_limits import UpstreamRateLimits
+from worksrail.core.steering._region_shares import RegionShares
 from worksrail.core.steering._request import SteeredRequest
 from worksrail.core.steering._routes import NotConfigured, RoutingConfiguration
 from worksrail.core.steering._settings import SETTLING, EntrySettings
-from worksrail.core.steering._sharing import KeySharing
 from worksrail.core.steering._splits import Splits
-from worksrail.core.steering._warmth import Warmth
+from worksrail.core.steering._store_sync import StoreSync
+from worksrail.core.steering._warm_keys import WarmKeys
+from worksrail.core.steering._zone_reachability import ZoneReachability
 from worksrail.core.steering.events import RequestNumber
 from worksrail.core.steering.kinds import StoreKind
 
 
 @dataclass(frozen=True, slots=True)
-class Shortage:
+class SlotUsage:
     """How much of a service's slots is in use."""
 
     used: float
     """Requests in flight over slots."""
 
-    seen_at: float
+    measured_at: float
     """When they were counted."""
 
 
@@ -57,13 +57,13 @@
     fleet: Fleet
     """The other entries."""
 
-    nearness: Nearness
+    region_shares: RegionShares
     """Where keys of the own region are at home."""
 
     limits: SharedLimits
     """Limits that all entries share."""
 
-    rates: UpstreamRates
+    rates: UpstreamRateLimits
     """Limits on what single upstreams get."""
 
     budgets: SharedBudgets
@@ -83,28 +83,28 @@
     loads: LoadTable = field(default_factory=LoadTable)
     """Load, speed and faults of upstreams."""
 
-    reach: Reach = field(default_factory=Reach)
+    reachability: ZoneReachability = field(default_factory=ZoneReachability)
     """Zones that cannot be reached."""
 
-    sharing: KeySharing = field(default_factory=KeySharing)
+    key_overlap: KeyOverlap = field(default_factory=KeyOverlap)
     """Which keys regions have in common."""
 
     affinity: Affinity = field(default_factory=Affinity)
     """Order of upstreams by key."""
 
-    warmth: Warmth = field(default_factory=Warmth)
+    warm_keys: WarmKeys = field(default_factory=WarmKeys)
     """Where keys are warm, and what that saves."""
 
     splits: Splits = field(default_factory=Splits)
     """Traffic splits."""
 
-    usual: dict[ServiceName, LearnedTime] = field(default_factory=dict)
+    usual: dict[ServiceName, LatencyEwma] = field(default_factory=dict)
     """Seconds that an execution takes at a service, over all routes."""
 
     longest: dict[str, float] = field(default_factory=dict)
     """Longest time that callers allowed, by route name."""
 
-    distances: dict[RegionName, LearnedTime] = field(default_factory=dict)
+    region_rtts: dict[RegionName, LatencyEwma] = field(default_factory=dict)
     """Seconds to a region and back."""
 
     quarantine: Quarantine = field(default_factory=Quarantine)
@@ -113,7 +113,7 @@
     requests: dict[RequestNumber, SteeredRequest] = field(default_factory=dict)
     """Requests under way."""
 
-    mirror: Mirror = field(default_factory=Mirror)
+    store_sync: StoreSync = field(default_factory=StoreSync)
     """How far the store is known."""
 
     watching: bool = False
@@ -132,7 +132,7 @@
     """What the last digest told of the store: revisions by kind, and whether
     it was lost."""
 
-    lost: set[StoreKind] = field(default_factory=set)
+    failing_kinds: set[StoreKind] = field(default_factory=set)
     """Kinds whose reading from the store fails."""
 
     seen: set[StoreKind] = field(default_factory=set)
@@ -150,7 +150,7 @@
     exited: bool = False
     """The stop is complete."""
 
-    shortages: dict[ServiceName, Shortage] = field(default_factory=dict)
+    slot_usage: dict[ServiceName, SlotUsage] = field(default_factory=dict)
     """Use of slots by service."""
 
     arrivals: RateMeter = field(default_factory=RateMeter)
@@ -182,7 +182,7 @@
         """Begin an incarnation that knows its settings only."""
         peer = settings.addresses.peer
         fleet = Fleet(who.name, settings.zone, peer)
-        fleet.learn_all(settings.seeds, now)
+        fleet.add_addresses(settings.seeds, now)
         catalog = Catalog.from_regions(
             settings.regions, settings.bounds.heartbeat
         )
@@ -192,9 +192,9 @@
             random.Random(seed),
             catalog,
             fleet,
-            Nearness.from_regions(settings.regions.values()),
+            RegionShares.from_regions(settings.regions.values()),
             SharedLimits.begin(who, peer, now, settings.seeds),
-            UpstreamRates.begin(settings, catalog),
+            UpstreamRateLimits.begin(settings, catalog),
             SharedBudgets.begin(
                 settings.bounds.repeats,
                 -inf if settings.first_start else now,
@@ -213,14 +213,14 @@
         """Whether this entry has had the time to hear of the others."""
         return now - self.started_at > SETTLING
 
-    def usual_time(
+    def typical_time(
         self,
         service: ServiceName,
         guess: float,
-    ) -> LearnedTime:
+    ) -> LatencyEwma:
         """Seconds that an execution takes at a service."""
         known = self.usual.get(service)
         if known is None:
-            known = LearnedTime(guess)
+            known = LatencyEwma(guess)
             self.usual[service] = known
         return known
--- a/worksrail/daemon/http/_requests.py
+++ b/worksrail/daemon/http/_requests.py
@@ -23,8 +23,8 @@
 )
 from worksrail.core.pacing import NamedLimit, read_rate
 from worksrail.core.requests import (
+    ArrivalPath,
     NoTicket,
-    Passing,
     RequestHead,
     TicketSigner,
 )
@@ -138,7 +138,9 @@
         headers[names.DEADLINE] = f'{left:.3f}'
         headers[names.HOME] = effect.home
         headers[names.CLIENT] = exchange.client
-        passing = Passing.TO_OWNER if effect.to_owner else Passing.SHIFTED
+        passing = (
+            ArrivalPath.TO_OWNER if effect.to_owner else ArrivalPath.SHIFTED
+        )
         headers[names.PASSING] = passing.name
         active = self.engine.instance.requests[effect.request]
         headers[names.CUSTOMER] = active.customer
@@ -185,9 +187,9 @@
             return ResultCode.INVALID_DEADLINE
         text = headers.get(names.TICKET)
         ticket = self.signer().verify(text) if text else NoTicket.NOT_GIVEN
-        passing = Passing.DIRECT
+        passing = ArrivalPath.DIRECT
         if trusted:
-            passing = Passing[headers.get(names.PASSING, 'SHIFTED')]
+            passing = ArrivalPath[headers.get(names.PASSING, 'SHIFTED')]
         return RequestHead(
             exchange.trace,
             headers['Host'].partition(':')[0].lower(),
--- a/worksrail/daemon/operators/_desk.py
+++ b/worksrail/daemon/operators/_desk.py
@@ -17,7 +17,7 @@
     pack_bundle,
     parse_bundle,
 )
-from worksrail.core.drains import DrainFigure, is_known_target, plan_drain
+from worksrail.core.drains import DrainImpact, is_known_target, plan_drain
 from worksrail.core.events import DrainsSeen, HeadSeen, WriteOutcome
 from worksrail.core.results import ResultCode
 from worksrail.daemon._engine import Engine
@@ -58,7 +58,7 @@
     faults: BundleFaults | None = None
     """All faults of a refused bundle."""
 
-    figures: tuple[DrainFigure, ...] = ()
+    figures: tuple[DrainImpact, ...] = ()
     """Figures of a refused drain."""
 
 
@@ -72,7 +72,7 @@
     targets: tuple[str, ...]
     """``kind/name`` of each drain."""
 
-    figures: tuple[DrainFigure, ...]
+    figures: tuple[DrainImpact, ...]
     """What it does to services and regions."""
 
 
@@ -158,7 +158,7 @@
         """Add a drain to the list, or take it off."""
         if not is_known_target(self.engine.instance, drain):
             return Refused(ResultCode.UNKNOWN_TARGET, drain.name)
-        figures: tuple[DrainFigure, ...] = ()
+        figures: tuple[DrainImpact, ...] = ()
         if add:
             figures = plan_drain(self.engine.instance, drain, self.engine.now())
         fits = all(figure.fits for figure in figures)
@@ -256,7 +256,7 @@
         self,
         drain: Drain,
         operator: str,
-        figures: tuple[DrainFigure, ...],
+        figures: tuple[DrainImpact, ...],
         *,
         add: bool,
     ) -> DrainChange | Refused:
--- a/worksrail/daemon/steered/_adapter.py
+++ b/worksrail/daemon/steered/_adapter.py
@@ -16,7 +16,7 @@
 from worksrail.core.steering import (
     EntryList,
     EntrySettings,
-    StoreNews,
+    StoreUpdate,
 )
 from worksrail.core.steering.events import (
     ReportedLoad,
@@ -51,7 +51,7 @@
         *,
         stale: bool = False,
         seconds: float = ANSWER_TIME,
-    ) -> StoreNews | StoreFault:
+    ) -> StoreUpdate | StoreFault:
         """Read all objects of a kind; a stale list costs less.
 
         Each page of it is waited for some seconds.
@@ -62,7 +62,7 @@
         kind: StoreKind,
         since: int,
         seconds: float,
-    ) -> StoreNews | StoreFault:
+    ) -> StoreUpdate | StoreFault:
         """Wait for changes after a revision, some seconds at most."""
 
 
--- a/worksrail/daemon/steered/_daemon.py
+++ b/worksrail/daemon/steered/_daemon.py
@@ -21,19 +21,19 @@
 )
 from worksrail.core.steering.effects import (
     AnswerResult,
-    AskStoreAnew,
     CancelAttempt,
     CheckStore,
     Decision,
     DropConnections,
     ExitProcess,
-    FetchNews,
-    FollowStore,
+    FetchStoreUpdate,
     ListStore,
+    RestartStoreCalls,
     SendDigest,
     SendLimitMessage,
     SendPacingMessage,
     SendUpstream,
+    WatchStore,
 )
 from worksrail.core.steering.events import StopRequested
 from worksrail.core.steering.kinds import StoreKind
@@ -174,16 +174,16 @@
             SendDigest: self.digests.send,
             SendLimitMessage: self.digests.send_limit_message,
             SendPacingMessage: self.digests.send_pacing_message,
-            FollowStore: self.follow,
+            WatchStore: self.follow,
             ListStore: self.list_store,
             CheckStore: self.check_store,
-            AskStoreAnew: self.ask_anew,
-            FetchNews: news.fetch,
+            RestartStoreCalls: self.ask_anew,
+            FetchStoreUpdate: news.fetch,
             Decision: self.decisions.write,
             ExitProcess: lambda _: self.stopped.set(),
         }
 
-    def follow(self, effect: FollowStore) -> None:
+    def follow(self, effect: WatchStore) -> None:
         """Begin or cease to read the store."""
         if effect.active:
             self.turn.set()
@@ -199,7 +199,7 @@
         """Find out whether the store answers."""
         self._begin(self.checker.check())
 
-    def ask_anew(self, _: AskStoreAnew) -> None:
+    def ask_anew(self, _: RestartStoreCalls) -> None:
         """Make the calls to the store again that wait."""
         for follower in self.followers:
             follower.ask_anew()
--- a/worksrail/daemon/steered/_following.py
+++ b/worksrail/daemon/steered/_following.py
@@ -8,7 +8,7 @@
 
 from logbook import Logger
 
-from worksrail.core.steering import StoreNews
+from worksrail.core.steering import StoreUpdate
 from worksrail.core.steering.events import (
     ConfigurationRead,
     EvacuationsRead,
@@ -60,7 +60,7 @@
 }
 
 
-_Answer = StoreNews | StoreFault
+_Answer = StoreUpdate | StoreFault
 
 
 @dataclass(slots=True)
@@ -137,13 +137,13 @@
             return
         self._note_faults(news)
         now = self.engine.now()
-        if news.revision > self.engine.state.mirror.revisions[self.kind]:
+        if news.revision > self.engine.state.store_sync.revisions[self.kind]:
             self._dispatch(news, now, listed=True)
 
     def _go_on(self) -> None:
         self.answered = False
         # Others have told what was new meanwhile.
-        known = self.engine.state.mirror.revisions[self.kind]
+        known = self.engine.state.store_sync.revisions[self.kind]
         self.revision = max(self.revision or 0, known) or None
 
     async def _ask(self) -> _Answer:
@@ -186,7 +186,7 @@
         await self.sleep(self.pause * spread)
         self.pause = min(_LONGEST_PAUSES[fault], self.pause * 2)
 
-    def _take(self, news: StoreNews) -> None:
+    def _take(self, news: StoreUpdate) -> None:
         listed = self.revision is None
         self.revision = news.revision
         self.answered = True
@@ -194,14 +194,14 @@
         now = self.engine.now()
         self.engine.dispatch(StoreAnswered(now, self.kind))
         self._note_faults(news)
-        known = self.engine.state.mirror.revisions[self.kind]
+        known = self.engine.state.store_sync.revisions[self.kind]
         if news.revision < known:
             # Others have told more meanwhile: this would take it back.
             self.revision = known
         elif listed or _tells_anything(news):
             self._dispatch(news, now, listed=listed)
 
-    def _note_faults(self, news: StoreNews) -> None:
+    def _note_faults(self, news: StoreUpdate) -> None:
         for fault in news.faults:
             self.count_unusable(self.kind.value)
             if fault not in self.told:
@@ -212,7 +212,7 @@
         if news.faults:
             self.told = frozenset(news.faults)
 
-    def _dispatch(self, news: StoreNews, now: float, *, listed: bool) -> None:
+    def _dispatch(self, news: StoreUpdate, now: float, *, listed: bool) -> None:
         if self.kind is StoreKind.UPSTREAMS:
             self._take_upstreams(news, now, listed=listed)
         elif self.kind is StoreKind.EVACUATIONS:
@@ -224,7 +224,7 @@
 
     def _take_upstreams(
         self,
-        news: StoreNews,
+        news: StoreUpdate,
         now: float,
         *,
         listed: bool,
@@ -240,7 +240,7 @@
 
     def _take_zones(
         self,
-        news: StoreNews,
+        news: StoreUpdate,
         now: float,
         *,
         listed: bool,
@@ -255,7 +255,7 @@
         )
 
 
-def _tells_anything(news: StoreNews) -> bool:
+def _tells_anything(news: StoreUpdate) -> bool:
     return bool(
         news.configuration or news.records or news.zones or news.removed
     )
--- a/worksrail/daemon/steered/_metrics.py
+++ b/worksrail/daemon/steered/_metrics.py
@@ -195,8 +195,8 @@
         """Bring the gauges up to date and give the text."""
         self._show_services(state)
         self.entries.set(len(state.fleet.alive(now)))
-        self.store_lost.set(len(state.lost))
-        age = state.catalog.pulse.age(now)
+        self.store_lost.set(len(state.failing_kinds))
+        age = state.catalog.store_health.age(now)
         self.store_age.set(inf if age is None else age)
         self.requests_held.set(state.quarantine.count_held(now))
         self._show_limits(state)
@@ -225,12 +225,10 @@
 
     def _show_budgets(self, state: SteeringState, now: float) -> None:
         for service in tuple(state.budgets.budgets):
-            use = state.budgets.use_of_all(service, now)
+            use = state.budgets.fleet_use(service, now)
             self.repeats_reserved.labels(service).set(use.own)
-            self.repeats_reserved_by_all.labels(service).set(
-                use.by_all.reserved
-            )
-            self.requests_of_all.labels(service).set(use.by_all.requests)
+            self.repeats_reserved_by_all.labels(service).set(use.total.reserved)
+            self.requests_of_all.labels(service).set(use.total.requests)
 
     def _series_of(self, customer: str) -> str:
         if len(self.customers) < _MOST_CUSTOMERS:
--- a/worksrail/daemon/steered/_peers.py
+++ b/worksrail/daemon/steered/_peers.py
@@ -11,9 +11,9 @@
 from tornado import httputil
 
 from worksrail.core.results import ResultCode
-from worksrail.core.steering import StoreNews, news_since
-from worksrail.core.steering.effects import FetchNews
-from worksrail.core.steering.events import NewsFetched, NewsMissed
+from worksrail.core.steering import StoreUpdate, store_update_since
+from worksrail.core.steering.effects import FetchStoreUpdate
+from worksrail.core.steering.events import StoreUpdateFailed, StoreUpdateFetched
 from worksrail.core.steering.kinds import StoreKind
 from worksrail.daemon.http._attempt import AttemptEnd, HttpAttempt, Outgoing
 from worksrail.daemon.http._body import BodyStream
@@ -26,7 +26,7 @@
 _LOG: Final = Logger('worksrail.peers')
 _PATH: Final = '/news'
 _NEWS_TYPE: Final = 'application/msgpack'
-_DECODER: Final = msgspec.msgpack.Decoder(StoreNews)
+_DECODER: Final = msgspec.msgpack.Decoder(StoreUpdate)
 _OK: Final = 200
 # Bytes that news may grow to: 100,000 upstreams are told in half of it.
 _LONGEST: Final = 20_000_000
@@ -55,7 +55,7 @@
             exchange.answer_result(ResultCode.MALFORMED_REQUEST)
             return
         engine = self.engine
-        news = news_since(engine.state, kind, since, engine.now())
+        news = store_update_since(engine.state, kind, since, engine.now())
         payload = pack(msgspec.msgpack.encode(news))
         exchange.answer_document(payload, _NEWS_TYPE)
 
@@ -76,23 +76,25 @@
     tasks: set[asyncio.Task[None]] = field(default_factory=set)
     """Calls under way."""
 
-    def fetch(self, effect: FetchNews) -> None:
+    def fetch(self, effect: FetchStoreUpdate) -> None:
         """Ask another entry; an event follows in any case."""
         task = asyncio.ensure_future(self._fetch(effect))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _fetch(self, effect: FetchNews) -> None:
+    async def _fetch(self, effect: FetchStoreUpdate) -> None:
         news = await self._ask(effect)
         now = self.engine.now()
         if news is None:
-            self.engine.dispatch(NewsMissed(now, effect.kind, effect.peer))
+            self.engine.dispatch(
+                StoreUpdateFailed(now, effect.kind, effect.peer)
+            )
         else:
             self.engine.dispatch(
-                NewsFetched(now, effect.kind, effect.peer, news)
+                StoreUpdateFetched(now, effect.kind, effect.peer, news)
             )
 
-    async def _ask(self, effect: FetchNews) -> StoreNews | None:
+    async def _ask(self, effect: FetchStoreUpdate) -> StoreUpdate | None:
         collector = CollectedAnswer()
         attempt = HttpAttempt(
             self.pool,
@@ -112,7 +114,7 @@
             )
             return None
 
-    def _outgoing(self, effect: FetchNews) -> Outgoing:
+    def _outgoing(self, effect: FetchStoreUpdate) -> Outgoing:
         query = urlencode({'kind': effect.kind.value, 'since': effect.since})
         return Outgoing(
             effect.peer,
--- a/worksrail/platform/_objects.py
+++ b/worksrail/platform/_objects.py
@@ -6,8 +6,8 @@
 from worksrail.core.customers import (
     Customer,
     CustomerTable,
+    DuplicateKeyError,
     Quota,
-    SharedKeyError,
     digest_of_key,
 )
 from worksrail.core.steering import (
@@ -18,7 +18,7 @@
     ServicePolicy,
     ServiceWeight,
     UpstreamRecord,
-    name_of_life,
+    incarnation_name,
 )
 from worksrail.platform._fields import Fields, MalformedDocumentError
 
@@ -77,7 +77,7 @@
     # Unix milliseconds of the start; not told on every deployment.
     born = fields.whole_from('born', 0, 0)
     return UpstreamRecord(
-        name_of_life(name, born),
+        incarnation_name(name, born),
         description.text('Service'),
         _address(fields),
         description.text('Zone'),
@@ -113,7 +113,7 @@
     customers = [_customer(row) for row in fields.rows('Tenants')]
     try:
         return CustomerTable.from_customers(customers)
-    except SharedKeyError as error:
+    except DuplicateKeyError as error:
         raise MalformedDocumentError(f'{error} at {fields.where}') from error
 
 
--- a/worksrail/platform/_store.py
+++ b/worksrail/platform/_store.py
@@ -11,7 +11,7 @@
 
 from worksrail.core.steering import (
     RoutingConfiguration,
-    StoreNews,
+    StoreUpdate,
     UpstreamRecord,
 )
 from worksrail.core.steering.kinds import StoreKind
@@ -86,9 +86,9 @@
             event = Fields.from_value(entry, 'event')
             self.add(event.table.get('Object'), gone=event.flag('Deleted'))
 
-    def news(self) -> StoreNews:
+    def news(self) -> StoreUpdate:
         """Everything that was added."""
-        return StoreNews(
+        return StoreUpdate(
             self.revision,
             self.configuration,
             tuple(self.records.values()),
@@ -149,7 +149,7 @@
         *,
         stale: bool = False,
         seconds: float = ANSWER_TIME,
-    ) -> StoreNews | StoreFault:
+    ) -> StoreUpdate | StoreFault:
         """Read all objects of a kind, page by page.
 
         Each is waited for some seconds.  A stale list may be seconds old and
@@ -174,7 +174,7 @@
         kind: StoreKind,
         since: int,
         seconds: float,
-    ) -> StoreNews | StoreFault:
+    ) -> StoreUpdate | StoreFault:
         """Wait for changes after a revision, some seconds at most."""
         query = {
             'Watch': str(since),
