--- a/tests/steering/fleet_world.py
+++ b/tests/steering/fleet_world.py
@@ -1,4 +1,4 @@
-"""A fleet of entries in several zones, on a virtual clock, no I/O."""
+"""A fleet of entries in several zones on a virtual clock, without I/O."""
 
 import random
 from collections import Counter
@@ -55,21 +55,21 @@
 from worksrail.core.steering.kinds import StoreKind
 
 STEP = 0.05
-# When the first entries start, by the world's clock.
-_BEGIN = 50.0
+# Time at which the first entries start.
+_START = 50.0
 
 
 class FleetWorld:
-    """Entries that tell each other; datagrams take one step, or are lost."""
+    """Entries that exchange digests; a datagram takes one step or is lost."""
 
     routes: tuple[Route, ...] = (route(),)
     """Routes of the configuration."""
 
     cold_rate: float = 0
-    """Requests a second that a cold upstream takes."""
+    """Requests a second that a cold upstream tolerates."""
 
     bounds: SteeringBounds = settings().bounds
-    """Operators' bounds."""
+    """Bounds set by the operators."""
 
     def __init__(
         self,
@@ -78,26 +78,26 @@
         loss: float = 0,
         limits: dict[str, EntryLimits] | None = None,
         *,
-        told: bool = True,
+        with_initial_state: bool = True,
     ) -> None:
         """Start a number of entries in each zone."""
-        self.now = _BEGIN
+        self.now = _START
         self.regions = regions
         self.loss = loss
-        self.told = told
-        self.fetched: list[tuple[str, FetchStoreUpdate]] = []
+        self.with_initial_state = with_initial_state
+        self.pending_fetches: list[tuple[str, FetchStoreUpdate]] = []
         self.store = 0
-        self.turned_away: set[str] = set()
+        self.rejected: set[str] = set()
         self.frozen: set[str] = set()
         self.cut_off: set[str] = set()
-        self.silent = False
-        self.listed: tuple[UpstreamRecord, ...] = ()
+        self.store_unresponsive = False
+        self.listed_records: tuple[UpstreamRecord, ...] = ()
         self.calls: Counter[str] = Counter()
         self.limits = limits or {}
         self.rng = random.Random(3)
         self.states: dict[str, SteeringState] = {}
-        self.lives: Counter[str] = Counter()
-        self.under_way: list[tuple[str, Digest | PacingMessage]] = []
+        self.incarnations: Counter[str] = Counter()
+        self.in_transit: list[tuple[str, Digest | PacingMessage]] = []
         self.sent: Counter[tuple[str, str]] = Counter()
         names = [
             f'{zone}-{number}'
@@ -109,10 +109,10 @@
             self.start(name)
 
     def start(self, name: str) -> None:
-        """Start an entry, or start it again."""
+        """Start or restart an entry."""
         zone = name.partition('-')[0]
-        self.lives[name] += 1
-        given = replace(
+        self.incarnations[name] += 1
+        own_settings = replace(
             settings(name, self.bounds),
             zone=zone,
             region=self.regions[zone],
@@ -120,13 +120,16 @@
             addresses=EntryAddresses(name, name, name, f'{name}:peer'),
             seeds=self.seeds,
             limits=self.limits.get(name, EntryLimits()),
-            first_start=self.now == _BEGIN,
+            first_start=self.now == _START,
         )
         state = SteeringState.from_settings(
-            given, Incarnation(name, self.lives[name]), self.now, len(name)
+            own_settings,
+            Incarnation(name, self.incarnations[name]),
+            self.now,
+            len(name),
         )
         self.states[name] = state
-        if self.told:
+        if self.with_initial_state:
             self.deliver_store(name, 1)
 
     def deliver_store(
@@ -135,7 +138,7 @@
         revision: int,
         records: tuple[UpstreamRecord, ...] = (),
     ) -> None:
-        """An entry reads everything in the store as of a revision."""
+        """Let an entry read the complete store as of a revision."""
         version = configuration(revision, self.routes, self.cold_rate)
         for event in (
             StoreAnswered(self.now, StoreKind.UPSTREAMS),
@@ -145,18 +148,18 @@
         ):
             reduce(self.states[name], event)
 
-    def change_store(self, revision: int) -> None:
-        """The store has changed; those that read it are told."""
+    def set_store_revision(self, revision: int) -> None:
+        """Change the store; entries that read it receive the change."""
         self.store = revision
 
-    def list_upstreams(self, *names: str) -> None:
-        """The store lists other upstreams; those that read it are told."""
-        self.listed = tuple(upstream(name) for name in names)
-        # Entries are told of the first revision at their start.
+    def set_upstreams(self, *names: str) -> None:
+        """Change the listed upstreams; entries that read the store get them."""
+        self.listed_records = tuple(upstream(name) for name in names)
+        # Entries receive the first revision at their start.
         self.store = max(self.store, 1) + 1
 
     def watchers(self) -> set[str]:
-        """Entries that read the store."""
+        """Return the entries that read the store."""
         return {name for name, state in self.states.items() if state.watching}
 
     def stop(self, name: str) -> None:
@@ -164,52 +167,52 @@
         self.states.pop(name)
 
     def wait(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock."""
         end = self.now + seconds
         while self.now < end:
             self.now += STEP
-            arriving, self.under_way = self.under_way, []
+            arriving, self.in_transit = self.in_transit, []
             for receiver, digest in arriving:
                 name = receiver.partition(':')[0]
                 if self._is_reached(name):
                     self._run(name, _event_of(digest, self.now))
-            self._answer_fetches()
-            self._tell_watchers()
+            self._run_fetches()
+            self._update_watchers()
             for name in tuple(self.states):
                 if name not in self.frozen:
                     self._run(name, Ticked(self.now))
 
     def collect_digests(self, seconds: float) -> list[tuple[str, Digest]]:
-        """What entries tell in some seconds, with its receivers."""
-        told: list[tuple[str, Digest]] = []
+        """Return the digests sent during some seconds, with their receivers."""
+        digests: list[tuple[str, Digest]] = []
         for _ in range(round(seconds / STEP)):
             self.wait(STEP)
-            told += self.under_way
-        return told
+            digests += self.in_transit
+        return digests
 
-    def named(self, asked: str, zone: str) -> set[str]:
-        """Entries that one of them names to callers of a zone."""
+    def looked_up(self, asked: str, zone: str) -> set[str]:
+        """Return the entries that one of them lists to callers of a zone."""
         found = look_up(self.states[asked], self.regions[zone], zone, self.now)
         return set(found.addresses) if isinstance(found, EntryList) else set()
 
-    def known(self, name: str) -> set[str]:
-        """Other entries that an entry takes to be alive."""
+    def alive_entries(self, name: str) -> set[str]:
+        """Return the other entries that an entry considers alive."""
         alive = self.states[name].fleet.alive(self.now)
         return {entry.contact.name for entry in alive}
 
-    def believed(self, name: str, upstream: str) -> int:
-        """Requests in flight at an upstream, as an entry believes."""
+    def estimated_load(self, name: str, upstream: str) -> int:
+        """Return the in-flight requests at an upstream as an entry sees them."""
         return self.states[name].loads.of(upstream).in_flight
 
-    def _answer_fetches(self) -> None:
-        asked, self.fetched = self.fetched, []
+    def _run_fetches(self) -> None:
+        asked, self.pending_fetches = self.pending_fetches, []
         for name, fetch in asked:
             peer = fetch.peer.partition(':')[0]
             event: Event = StoreUpdateFailed(self.now, fetch.kind, fetch.peer)
             if self._is_reached(peer) and self._is_reached(name):
-                teller = self.states[peer]
+                source = self.states[peer]
                 news = store_update_since(
-                    teller, fetch.kind, fetch.since, self.now
+                    source, fetch.kind, fetch.since, self.now
                 )
                 event = StoreUpdateFetched(
                     self.now, fetch.kind, fetch.peer, news
@@ -217,42 +220,44 @@
             if name in self.states and name not in self.frozen:
                 self._run(name, event)
 
-    def _tell_watchers(self) -> None:
-        unreached = self.frozen | self.cut_off
-        for name in sorted(self.watchers() - unreached) if self.store else ():
+    def _update_watchers(self) -> None:
+        unreachable = self.frozen | self.cut_off
+        for name in sorted(self.watchers() - unreachable) if self.store else ():
             known = min(self.states[name].store_sync.revisions.values())
-            if name in self.turned_away:
+            if name in self.rejected:
                 for kind in StoreKind:
                     lost = StoreLost(self.now, kind, 'busy')
                     self._run(name, lost)
-            elif known < self.store and not self.silent:
+            elif known < self.store and not self.store_unresponsive:
                 self.calls['watch'] += len(StoreKind)
-                self.deliver_store(name, self.store, self.listed)
+                self.deliver_store(name, self.store, self.listed_records)
 
     def _run(self, name: str, event: Event) -> None:
         self._perform(name, reduce(self.states[name], event))
 
     def _perform(self, name: str, effects: list[Effect]) -> None:
-        """Run the effects of an entry."""
-        listed = of_type(effects, ListStore)
-        self.calls['list'] += len(listed) * len(StoreKind)
-        unheard = self.silent or name in self.turned_away | self.cut_off
-        if listed and self.store and not unheard:
-            self.deliver_store(name, self.store, self.listed)
+        """Perform the effects of an entry."""
+        lists = of_type(effects, ListStore)
+        self.calls['list'] += len(lists) * len(StoreKind)
+        unanswered = (
+            self.store_unresponsive or name in self.rejected | self.cut_off
+        )
+        if lists and self.store and not unanswered:
+            self.deliver_store(name, self.store, self.listed_records)
         if of_type(effects, CheckStore):
             self.calls['check'] += 1
-            failure = 'no answer' if unheard else ''
+            failure = 'no answer' if unanswered else ''
             self._run(name, StoreChecked(self.now, failure))
-        self.fetched += [
-            (name, one) for one in of_type(effects, FetchStoreUpdate)
+        self.pending_fetches += [
+            (name, fetch) for fetch in of_type(effects, FetchStoreUpdate)
         ]
         for effect in of_type(effects, SendDigest):
             for receiver in effect.receivers:
                 places = (name.partition('-')[0], receiver.partition('-')[0])
                 self.sent[places] += 1
                 self._post(name, receiver, effect.digest)
-        for one in of_type(effects, SendPacingMessage):
-            self._post(name, one.receiver, one.message)
+        for sent in of_type(effects, SendPacingMessage):
+            self._post(name, sent.receiver, sent.message)
 
     def _post(
         self,
@@ -262,11 +267,11 @@
     ) -> None:
         if name in self.cut_off or self.rng.random() < self.loss:
             return
-        self.under_way.append((receiver, message))
+        self.in_transit.append((receiver, message))
 
     def _is_reached(self, name: str) -> bool:
-        unreached = self.frozen | self.cut_off
-        return name in self.states and name not in unreached
+        unreachable = self.frozen | self.cut_off
+        return name in self.states and name not in unreachable
 
 
 def _event_of(message: Digest | PacingMessage, now: float) -> Event:
--- a/tests/steering/silent_store.py
+++ b/tests/steering/silent_store.py
@@ -1,4 +1,4 @@
-"""A store that falls silent, and one entry that reads it; virtual clock."""
+"""An unresponsive store and one entry that reads it, on a virtual clock."""
 
 import asyncio
 from dataclasses import replace
@@ -19,66 +19,70 @@
 
 _Answer = StoreUpdate | StoreFault
 _STEP = 0.01
-# Seconds beyond its own time after which a call is given up.
-_LIMIT = 2.0
-# Seconds for which the store keeps its history: watches wait for 0.8 of them.
-_HISTORY = 20
+# Seconds after which a call is abandoned, in addition to its own wait time.
+_EXTRA_TIMEOUT = 2.0
+# Seconds for which the store keeps its history; watches wait for 0.8 of that.
+_HISTORY_SECONDS = 20
 
 
-class SilentStore:
-    """Upstreams in a store that answers nothing for a while.
+class UnresponsiveStore:
+    """A store with upstreams that is unresponsive for a while.
 
-    What is asked of it while it is silent is never answered.  A watch that
-    waited already is answered once it is back, or never if it forgets it.
+    Calls made during that time are never answered. A watch that was already
+    pending is answered afterwards, or never if the store loses its watches.
     """
 
-    def __init__(self, clock: 'Clock', *, forgets: bool) -> None:
-        """Begin with five upstreams."""
+    def __init__(self, clock: 'Clock', *, loses_watches: bool) -> None:
+        """Start with five upstreams."""
         self.clock = clock
-        self.forgets = forgets
-        self.silent = False
-        self.silences = 0
+        self.loses_watches = loses_watches
+        self.unresponsive = False
+        self.outages = 0
         self.revision = 1
         self.records: dict[str, UpstreamRecord] = {}
         self.changes: list[tuple[int, str]] = []
         for name in ('1', '2', '3', '4', '5'):
             self.put(name)
 
-    def fall_silent(self) -> None:
-        """Answer nothing from now on."""
-        self.silent = True
-        self.silences += 1
+    def stop_answering(self) -> None:
+        """Stop answering."""
+        self.unresponsive = True
+        self.outages += 1
 
     def put(self, name: str) -> None:
-        """An upstream reports."""
+        """Write the record of an upstream."""
         self.records[name] = upstream(
             name, address=f'10.0.0.{name}:1', sequence=self.revision
         )
         self._change(name)
 
     def remove(self, name: str) -> None:
-        """An upstream's entry lapses, or it has left."""
+        """Remove the record of an upstream that expired or left."""
         self.records.pop(name)
         self._change(name)
 
     async def read_all(
-        self, kind: StoreKind, *, stale: bool = False, seconds: float = _LIMIT
+        self,
+        kind: StoreKind,
+        *,
+        stale: bool = False,
+        seconds: float = _EXTRA_TIMEOUT,
     ) -> _Answer:
-        """A complete list."""
+        """Return the complete list."""
         return await at_most(seconds, self._list(kind), StoreFault.UNREACHABLE)
 
     async def watch(
         self, kind: StoreKind, since: int, seconds: float
     ) -> _Answer:
-        """What changed after a revision."""
+        """Return the changes after a revision."""
         return await at_most(
-            seconds + _LIMIT,
+            seconds + _EXTRA_TIMEOUT,
             self._watch(kind, since, seconds),
             StoreFault.UNREACHABLE,
         )
 
     async def _list(self, kind: StoreKind) -> StoreUpdate:
-        await self._be_heard()
+        await self._wait_for_answer()
         if kind is StoreKind.CONFIGURATION:
             return StoreUpdate(self.revision, configuration(1, (route(),)))
         if kind is StoreKind.EVACUATIONS:
@@ -88,13 +92,16 @@
     async def _watch(
         self, kind: StoreKind, since: int, seconds: float
     ) -> StoreUpdate:
-        await self._be_heard()
-        begun, silences = self.clock.now(), self.silences
-        while self.silent or not self._has_news(kind, since):
-            if self.clock.now() - begun >= seconds and not self.silent:
+        await self._wait_for_answer()
+        started_at, outages = self.clock.now(), self.outages
+        while self.unresponsive or not self._has_changes(kind, since):
+            if (
+                self.clock.now() - started_at >= seconds
+                and not self.unresponsive
+            ):
                 break
             await asyncio.sleep(_STEP)
-        if self.forgets and self.silences != silences:
+        if self.loses_watches and self.outages != outages:
             await asyncio.Event().wait()
         if kind is not StoreKind.UPSTREAMS:
             return StoreUpdate(self.revision)
@@ -107,12 +114,12 @@
             removed=tuple(names - self.records.keys()),
         )
 
-    async def _be_heard(self) -> None:
+    async def _wait_for_answer(self) -> None:
         await asyncio.sleep(_STEP)
-        if self.silent:
+        if self.unresponsive:
             await asyncio.Event().wait()
 
-    def _has_news(self, kind: StoreKind, since: int) -> bool:
+    def _has_changes(self, kind: StoreKind, since: int) -> bool:
         upstreams = kind is StoreKind.UPSTREAMS
         return upstreams and any(at > since for at, _ in self.changes)
 
@@ -122,20 +129,20 @@
 
 
 class Clock:
-    """Virtual seconds; the loop begins with the test."""
+    """Virtual seconds; the event loop starts with the test."""
 
     def now(self) -> float:
-        """Seconds since the loop began."""
+        """Return the seconds since the loop started."""
         return asyncio.get_running_loop().time()
 
 
 class Reader:
     """One entry that reads a store and knows no other entries."""
 
-    def __init__(self, *, forgets: bool) -> None:
-        """Build it; nothing runs yet."""
+    def __init__(self, *, loses_watches: bool) -> None:
+        """Build the entry without starting it."""
         clock = Clock()
-        self.store = SilentStore(clock, forgets=forgets)
+        self.store = UnresponsiveStore(clock, loses_watches=loses_watches)
         adapter = Adapter(
             _settings,
             PlatformCallers(),
@@ -148,37 +155,37 @@
         state = self.daemon.engine.state
         state.started_at = state.last_event_at = clock.now()
         self.daemon.engine.clock = clock.now
-        self.fewest = 0
+        self.min_usable = 0
 
     def usable(self) -> set[str]:
-        """Names of the upstreams that the entry may use."""
+        """Return the names of the upstreams that the entry may use."""
         usable = self.daemon.engine.state.catalog.usable('orders')
         return {found.name for found in usable}
 
-    def report(self, *names: str) -> None:
-        """Some upstreams write their entries."""
+    def write_records(self, *names: str) -> None:
+        """Let some upstreams write their records."""
         for name in names:
             self.store.put(name)
 
-    async def play(self, seconds: float) -> None:
-        """Let time pass, and count how many upstreams are usable at least."""
+    async def run(self, seconds: float) -> None:
+        """Advance the clock and track the minimum of usable upstreams."""
         end = asyncio.get_running_loop().time() + seconds
-        self.fewest = len(self.usable())
+        self.min_usable = len(self.usable())
         while asyncio.get_running_loop().time() < end:
             await asyncio.sleep(_STEP)
-            self.fewest = min(self.fewest, len(self.usable()))
+            self.min_usable = min(self.min_usable, len(self.usable()))
 
-    async def begin(self) -> None:
-        """Begin to read, and know everything."""
+    async def start(self) -> None:
+        """Start to read, until everything is known."""
         self.daemon.begin_work()
-        await self.play(2)
+        await self.run(2)
 
-    def end(self) -> None:
-        """Cease to read."""
+    def stop(self) -> None:
+        """Stop reading."""
         for task in tuple(self.daemon.tasks):
             task.cancel()
 
 
 def _settings() -> EntrySettings:
-    bounds = SteeringBounds(store_history=_HISTORY)
+    bounds = SteeringBounds(store_history=_HISTORY_SECONDS)
     return replace(settings(bounds=bounds), seeds=())
--- a/tests/steering/test_fleet.py
+++ b/tests/steering/test_fleet.py
@@ -1,4 +1,4 @@
-"""The other entries: digests, look-ups, stops."""
+"""Other entries: digests, look-ups, graceful stops."""
 
 import asyncio
 import random
@@ -45,17 +45,17 @@
 _WRITE = route('write', kind=RouteKind.AT_MOST_ONCE)
 
 
-def _named(world: World, region: str = 'a', zone: str = 'a1') -> set[str]:
+def _looked_up(world: World, region: str = 'a', zone: str = 'a1') -> set[str]:
     found = look_up(world.state, region, zone, world.now)
     return set(found.addresses) if isinstance(found, EntryList) else set()
 
 
-def _hear(world: World, name: str, number: int = 1, **told: object) -> None:
-    world.run(DigestReceived(world.now, digest(name, number, **told)))
+def _receive(world: World, name: str, number: int = 1, **state: object) -> None:
+    world.run(DigestReceived(world.now, digest(name, number, **state)))
 
 
 @pytest.mark.parametrize(
-    ('told', 'named'),
+    ('state', 'listed'),
     [
         ({}, True),
         ({'ready': False}, False),
@@ -63,45 +63,47 @@
         ({'region': 'b', 'zone': 'b1'}, False),
     ],
 )
-def test_who_is_named(told: dict[str, object], named: bool) -> None:
+def test_which_entries_a_look_up_lists(
+    state: dict[str, object], listed: bool
+) -> None:
     world = World()
-    _hear(world, 'two', **told)
-    assert ('10.9.0.3:two' in _named(world)) is named
-    assert '10.9.0.1:1' in _named(world)
+    _receive(world, 'two', **state)
+    assert ('10.9.0.3:two' in _looked_up(world)) is listed
+    assert '10.9.0.1:1' in _looked_up(world)
 
 
-def test_other_regions_are_named_when_there_is_none_near() -> None:
+def test_other_regions_are_listed_if_the_own_one_has_no_entry() -> None:
     world = World()
-    assert _named(world, 'b', 'b1') == {'10.9.0.1:1'}
+    assert _looked_up(world, 'b', 'b1') == {'10.9.0.1:1'}
 
 
-def test_silent_entry_is_out_of_answers_soon() -> None:
+def test_dead_entry_is_soon_removed_from_look_ups() -> None:
     world = World()
-    _hear(world, 'two')
+    _receive(world, 'two')
     world.wait(1.2)
-    assert '10.9.0.3:two' not in _named(world)
-    _hear(world, 'two', 2)
-    assert '10.9.0.3:two' in _named(world)
+    assert '10.9.0.3:two' not in _looked_up(world)
+    _receive(world, 'two', 2)
+    assert '10.9.0.3:two' in _looked_up(world)
 
 
-def test_own_stop_is_told_at_once_and_answered() -> None:
+def test_stop_is_advertised_at_once_and_affects_look_ups() -> None:
     world = World()
-    _hear(world, 'two')
+    _receive(world, 'two')
     effects = world.run(StopRequested(world.now))
     (sent,) = of_type(effects, SendDigest)
     assert isinstance(sent.digest, EntryDigest)
     assert sent.digest.sender.leaving
-    assert _named(world) == {'10.9.0.3:two'}
+    assert _looked_up(world) == {'10.9.0.3:two'}
 
 
-def test_stop_without_others_answers_that_nobody_is_ready() -> None:
+def test_look_up_fails_if_the_only_entry_is_stopping() -> None:
     world = World()
     world.run(StopRequested(world.now))
     found = look_up(world.state, 'a', 'a1', world.now)
     assert found is ResultCode.NOT_READY
 
 
-def test_stop_waits_for_requests_and_for_cached_answers() -> None:
+def test_stop_waits_for_requests_and_for_cached_look_ups() -> None:
     world = World((_WRITE,), (upstream('1'),))
     number = world.ask('write')
     world.run(StopRequested(world.now))
@@ -117,9 +119,9 @@
     assert of_type(world.wait(5.9), ExitProcess)
 
 
-def test_request_that_crosses_the_exit_is_refused() -> None:
-    # Found by the bench on tally-ja, seed in docs/FINDINGS.md: a request
-    # that came after the decision to exit was sent on and then cut.
+def test_request_after_the_exit_decision_is_refused() -> None:
+    # A request that arrived after the decision to exit was once sent on and
+    # then cut off (seed in docs/FINDINGS.md).
     world = World((), (upstream('1'),))
     world.run(StopRequested(world.now))
     assert of_type(world.wait(3.2), ExitProcess)
@@ -129,24 +131,24 @@
     assert answer.code is ResultCode.ENTRY_LEAVING
 
 
-def test_older_digest_changes_nothing() -> None:
+def test_outdated_digest_is_ignored() -> None:
     world = World()
-    _hear(world, 'two', 5, in_flight={'1': 2})
-    _hear(world, 'two', 4, in_flight={'1': 9})
+    _receive(world, 'two', 5, in_flight={'1': 2})
+    _receive(world, 'two', 4, in_flight={'1': 9})
     assert world.state.loads.of('1').others == 2
 
 
-def test_restart_with_its_clock_set_back_is_heard() -> None:
+def test_restart_with_clock_set_back_is_accepted() -> None:
     world = World()
-    _hear(world, 'two', who=Incarnation('two', 99))
+    _receive(world, 'two', who=Incarnation('two', 99))
     world.wait(1.5)
-    _hear(world, 'two', who=Incarnation('two', 1))
-    assert '10.9.0.3:two' in _named(world)
+    _receive(world, 'two', who=Incarnation('two', 1))
+    assert '10.9.0.3:two' in _looked_up(world)
 
 
 def test_digests_go_to_seeds_and_silent_entries() -> None:
     world = World()
-    _hear(world, 'two')
+    _receive(world, 'two')
     receivers = {
         receiver
         for sent in of_type(world.wait(3), SendDigest)
@@ -165,15 +167,15 @@
     assert min(sent.digest.in_flight.values()) > 400
 
 
-def test_pause_forgets_what_others_told() -> None:
+def test_suspension_discards_reported_load() -> None:
     world = World()
-    _hear(world, 'two', in_flight={'1': 2})
+    _receive(world, 'two', in_flight={'1': 2})
     world.now += 4
     world.wait(0.05)
     assert world.state.loads.of('1').others == 0
 
 
-def _zone_of(entries: int, upstreams: int) -> Digest:
+def _make_zone_digest(entries: int, upstreams: int) -> Digest:
     members = [
         contact(
             f'front-north-{number}',
@@ -182,7 +184,7 @@
         )
         for number in range(entries)
     ]
-    # Identifiers of upstreams are drawn, and hardly shrink.
+    # Identifiers of upstreams are random and hardly compress.
     rng = random.Random(entries)
     in_flight = {
         f'i-{rng.randrange(16**10):010x}': rng.randrange(1, 9)
@@ -192,34 +194,34 @@
 
 
 @pytest.mark.parametrize(('entries', 'upstreams'), [(1, 0), (3, 30), (22, 400)])
-def test_packed_digest_is_the_same_and_no_longer(
+def test_packed_digest_round_trips_and_is_not_larger(
     entries: int, upstreams: int
 ) -> None:
-    told = _zone_of(entries, upstreams)
-    packed = pack_message(told)
-    assert unpack_message(packed) == told
-    assert len(packed) <= len(msgspec.msgpack.encode(told))
+    message = _make_zone_digest(entries, upstreams)
+    packed = pack_message(message)
+    assert unpack_message(packed) == message
+    assert len(packed) <= len(msgspec.msgpack.encode(message))
 
 
-def test_digest_of_a_large_zone_takes_half_of_its_bytes() -> None:
-    told = _zone_of(22, 180)
-    assert len(pack_message(told)) < len(msgspec.msgpack.encode(told)) / 2
+def test_make_zone_digest_is_packed_to_half_its_size() -> None:
+    message = _make_zone_digest(22, 180)
+    assert len(pack_message(message)) < len(msgspec.msgpack.encode(message)) / 2
 
 
 @pytest.mark.parametrize(
     'payload',
     [b'', b'x', b'xyz', b'\x00', zlib.compress(b'no digest'), b'{}'],
 )
-def test_datagram_that_is_no_digest(payload: bytes) -> None:
+def test_malformed_datagram_is_rejected(payload: bytes) -> None:
     with pytest.raises(ValueError, match=r'.'):
         unpack_message(payload)
 
 
 def test_digests_cross_real_sockets() -> None:
-    assert asyncio.run(_meet()) == [{'two'}, {'one'}]
+    assert asyncio.run(_exchange()) == [{'two'}, {'one'}]
 
 
-async def _meet() -> list[set[str]]:
+async def _exchange() -> list[set[str]]:
     engines = []
     ports = [_free_port(), _free_port()]
     for name, port in zip(('one', 'two'), ports, strict=True):
@@ -244,10 +246,12 @@
 
 
 def test_messages_that_come_densely_are_all_taken_after_a_pause() -> None:
-    assert asyncio.run(_hear_many()) == {f'{number}' for number in range(200)}
+    assert asyncio.run(_receive_many()) == {
+        f'{number}' for number in range(200)
+    }
 
 
-async def _hear_many() -> set[str]:
+async def _receive_many() -> set[str]:
     state = SteeringState.from_settings(settings(), Incarnation('one', 1), 0, 1)
     engine = SteeringEngine(state, {Decision: lambda _: None})
     udp = DigestPort(engine)
@@ -259,7 +263,7 @@
             sender.sendto(payload, ('127.0.0.1', port))
     udp.read()
     udp.read()
-    # It waits for no message now, but looks again soon.
+    # The socket is not registered with the loop now, but is read again soon.
     assert udp.sock
     loop = asyncio.get_running_loop()
     assert not loop.remove_reader(udp.sock.fileno())
--- a/tests/steering/test_following.py
+++ b/tests/steering/test_following.py
@@ -1,4 +1,4 @@
-"""How one kind of object is followed in the store."""
+"""How an entry follows one kind of object in the store."""
 
 import asyncio
 import contextlib
@@ -26,14 +26,14 @@
 
 
 class ScriptedStore:
-    """Answers calls with what a script says, then ends the test."""
+    """Answers calls from a script, then ends the test."""
 
     def __init__(
         self,
         steps: Sequence[_Step],
         before_last: Callable[[], None] = lambda: None,
     ) -> None:
-        """Keep the script."""
+        """Store the script."""
         self.steps = list(steps)
         self.before_last = before_last
         self.calls: list[int | None] = []
@@ -41,12 +41,12 @@
         self.waits: list[float] = []
 
     async def read_all(self, kind: StoreKind, *, stale: bool = False) -> _Step:
-        """A complete list."""
+        """Return the complete list."""
         self.stale.append(stale)
         return self._next(None)
 
     async def watch(self, kind: StoreKind, since: int, seconds: float) -> _Step:
-        """Changes since a revision."""
+        """Return the changes since a revision."""
         self.waits.append(seconds)
         return self._next(since)
 
@@ -60,21 +60,21 @@
 
 
 class Followed:
-    """What following a script has brought about."""
+    """The result of following a script."""
 
     def __init__(
         self,
         kind: StoreKind,
         *steps: _Step,
-        overtaken: tuple[int, UpstreamRecord] | None = None,
+        later_list: tuple[int, UpstreamRecord] | None = None,
         listed_first: bool = False,
     ) -> None:
         """Follow the script to its end.
 
-        Another entry may tell of a later list during the last call.
+        Another entry may deliver a later list during the last call.
         """
-        self.store = ScriptedStore(steps, self.overtake)
-        self.overtaken = overtaken
+        self.store = ScriptedStore(steps, self.receive_later_list)
+        self.later_list = later_list
         self.state = SteeringState.from_settings(
             settings(), Incarnation('one', 1), 0, 1
         )
@@ -91,26 +91,26 @@
                 asyncio.run(follower.list_once())
             asyncio.run(follower.run())
 
-    def overtake(self) -> None:
-        """Another entry tells of a later list."""
-        if self.overtaken:
-            revision, record = self.overtaken
+    def receive_later_list(self) -> None:
+        """Receive a later list from another entry."""
+        if self.later_list:
+            revision, record = self.later_list
             listed = UpstreamsListed(0, (record,), revision)
             reduce(self.state, listed)
 
     async def sleep(self, seconds: float) -> None:
-        """Do not wait."""
+        """Return without waiting."""
         if seconds:
             self.pauses.append(seconds)
 
     @property
     def kinds(self) -> list[DecisionKind]:
-        """Kinds of the decisions about the store."""
+        """Return the kinds of the decisions about the store."""
         wanted = {DecisionKind.STORE_LOST, DecisionKind.STORE_REGAINED}
         return [note.kind for note in self.notes if note.kind in wanted]
 
 
-def test_list_once_then_watch_on() -> None:
+def test_list_is_followed_by_watches() -> None:
     followed = Followed(
         StoreKind.UPSTREAMS,
         StoreUpdate(5, records=(upstream('1'), upstream('2'))),
@@ -120,7 +120,7 @@
     assert set(followed.state.catalog.upstreams) == {'2', '3'}
 
 
-def test_stale_list_first_then_watch_on() -> None:
+def test_stale_list_is_followed_by_watches() -> None:
     followed = Followed(
         StoreKind.UPSTREAMS,
         StoreUpdate(5, records=(upstream('1'), upstream('2'))),
@@ -146,7 +146,7 @@
         ),
     ],
 )
-def test_no_long_watch_of_a_store_that_may_be_silent(
+def test_first_watch_after_a_failure_is_short(
     steps: list[_Step], long: list[bool]
 ) -> None:
     followed = Followed(StoreKind.UPSTREAMS, *steps)
@@ -154,7 +154,7 @@
     assert [wait > 1 for wait in waits] == [*long, True]
 
 
-def test_reader_that_others_have_told_asks_shortly_at_first() -> None:
+def test_first_watch_after_an_initial_list_is_short() -> None:
     followed = Followed(
         StoreKind.UPSTREAMS,
         StoreUpdate(5, records=(upstream('1'),)),
@@ -164,7 +164,7 @@
     assert [wait > 1 for wait in followed.store.waits] == [False, True]
 
 
-def test_reader_whose_turn_comes_again_asks_shortly_at_first() -> None:
+def test_first_watch_after_a_break_is_short() -> None:
     turn = asyncio.Event()
     turn.set()
     store = ScriptedStore([StoreUpdate(5), StoreUpdate(6), StoreUpdate(7)])
@@ -184,7 +184,7 @@
     assert [wait > 1 for wait in store.waits] == [True, False, True]
 
 
-def test_watch_ends_within_the_history_of_the_store() -> None:
+def test_watch_ends_within_the_store_history() -> None:
     followed = Followed(StoreKind.EVACUATIONS, StoreUpdate(5), StoreUpdate(5))
     history = followed.state.settings.bounds.store_history
     assert followed.store.waits
@@ -192,13 +192,13 @@
 
 
 @pytest.mark.parametrize('listed', [True, False])
-def test_answer_that_others_have_overtaken_takes_nothing_back(
+def test_overtaken_answer_reverts_nothing(
     listed: bool,
 ) -> None:
     step = StoreUpdate(7, records=(upstream('9'),), removed=('1',))
     first = () if listed else (StoreUpdate(5, records=(upstream('0'),)),)
     followed = Followed(
-        StoreKind.UPSTREAMS, *first, step, overtaken=(8, upstream('1'))
+        StoreKind.UPSTREAMS, *first, step, later_list=(8, upstream('1'))
     )
     assert set(followed.state.catalog.upstreams) == {'1'}
     assert followed.store.calls[-1] == 8
@@ -210,16 +210,16 @@
         (StoreFault.UNREACHABLE, 0.4, False, False),
         (StoreFault.UNREACHABLE, 20, False, True),
         (StoreFault.CUT, 20, False, True),
-        # Only what was asked meanwhile tells whether a watch waited for long
-        # because the store was quiet.
+        # Only health checks made meanwhile tell whether a watch waited for long
+        # because nothing changed.
         (StoreFault.UNREACHABLE, 20, True, False),
         (StoreFault.CUT, 20, True, False),
-        # Nobody has asked.
+        # No check was made.
         (StoreFault.UNREACHABLE, 20, None, False),
         (StoreFault.CUT, 20, None, False),
     ],
 )
-def test_store_that_answered_nothing_meanwhile_has_been_away(
+def test_watch_without_answered_checks_is_an_outage(
     fault: StoreFault, waited: float, checked: bool | None, outage: bool
 ) -> None:
     now = [100.0]
@@ -238,7 +238,7 @@
         now[0] = end
 
     async def no_sleep(seconds: float) -> None:
-        """Do not wait."""
+        """Return without waiting."""
 
     async def run() -> None:
         step = StoreUpdate(5, records=(upstream('1'),))
@@ -252,10 +252,10 @@
             await follower.run()
 
     asyncio.run(run())
-    assert (state.catalog.store_health.returned_at > 0) is outage
+    assert (state.catalog.store_health.recovered_at > 0) is outage
 
 
-def test_dropped_history_is_listed_anew() -> None:
+def test_lost_history_is_followed_by_a_list() -> None:
     followed = Followed(
         StoreKind.UPSTREAMS,
         StoreUpdate(5, records=(upstream('1'), upstream('2'))),
@@ -268,15 +268,15 @@
 
 
 @pytest.mark.parametrize(
-    ('fault', 'longest'),
+    ('fault', 'max_pause'),
     [
         (StoreFault.UNREACHABLE, 0.15),
         (StoreFault.REFUSED, 1.1),
         (StoreFault.MALFORMED, 1.1),
     ],
 )
-def test_failures_are_paused_and_told_once(
-    fault: StoreFault, longest: float
+def test_failures_are_paced_and_logged_once(
+    fault: StoreFault, max_pause: float
 ) -> None:
     followed = Followed(
         StoreKind.CONFIGURATION,
@@ -285,7 +285,7 @@
         StoreUpdate(1),
     )
     assert len(followed.pauses) == 8
-    assert max(followed.pauses) <= longest
+    assert max(followed.pauses) <= max_pause
     assert (max(followed.pauses) > 0.5) is (fault is not StoreFault.UNREACHABLE)
     assert followed.kinds == [
         DecisionKind.STORE_LOST,
@@ -299,7 +299,7 @@
     assert not Followed(StoreKind.CONFIGURATION, news, news).pauses
 
 
-def test_configuration_that_makes_no_sense_keeps_what_is_in_force() -> None:
+def test_undecodable_configuration_keeps_the_current_one() -> None:
     followed = Followed(
         StoreKind.CONFIGURATION,
         StoreUpdate(1, configuration(4, (route(),))),
@@ -310,7 +310,7 @@
     assert in_force.version == 4
 
 
-def test_evacuations_come_and_go() -> None:
+def test_evacuations_are_added_and_removed() -> None:
     followed = Followed(
         StoreKind.EVACUATIONS,
         StoreUpdate(1, zones=('a1', 'a2')),
--- a/tests/steering/test_large_fleet.py
+++ b/tests/steering/test_large_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of more than a hundred entries in trouble, on the virtual clock."""
+"""A fleet of more than a hundred entries under faults, on the virtual clock."""
 
 from collections.abc import Callable
 
@@ -9,11 +9,11 @@
 
 _ZONES = {'a1': 36, 'a2': 36, 'b1': 36}
 _REGIONS = {'a1': 'a', 'a2': 'a', 'b1': 'b'}
-# Readers of the store in each region: two, and one more for each of these that
-# the store does not answer.
-_MOST_READERS = 4
-# Seconds within which a change is in force everywhere, as operators ask.
-_IN_FORCE = 4
+# Entries of each region that read the store: two, and one more for each of them
+# that the store does not answer.
+_MAX_READERS = 4
+# Seconds within which operators require a change to be in force everywhere.
+_CONVERGENCE_TIME = 4
 
 
 def _power_off(world: FleetWorld) -> None:
@@ -22,10 +22,10 @@
         world.stop(name)
 
 
-def _replace_in_turn(world: FleetWorld) -> None:
+def _roll_entries(world: FleetWorld) -> None:
     names = sorted(world.states)
     leaving = world.rng.sample(names, int(len(names) * 0.45))
-    world.told = False
+    world.with_initial_state = False
     for first in range(0, len(leaving), 10):
         for name in leaving[first : first + 10]:
             world.stop(name)
@@ -34,7 +34,7 @@
 
 
 def _add_many(world: FleetWorld) -> None:
-    world.told = False
+    world.with_initial_state = False
     for zone, count in _ZONES.items():
         for number in range(count * 3 // 4):
             world.start(f'{zone}-added{number}')
@@ -46,9 +46,9 @@
             world.stop(name)
 
 
-def _turn_away_a_third(world: FleetWorld) -> None:
+def _reject_a_third(world: FleetWorld) -> None:
     names = sorted(world.states)
-    world.turned_away = set(world.rng.sample(names, len(names) // 3))
+    world.rejected = set(world.rng.sample(names, len(names) // 3))
 
 
 def _lose_readers(world: FleetWorld) -> None:
@@ -56,12 +56,12 @@
         world.stop(name)
 
 
-_TROUBLES: dict[str, Callable[[FleetWorld], None]] = {
+_FAULTS: dict[str, Callable[[FleetWorld], None]] = {
     'more than half lose power at once': _power_off,
-    'nearly half are replaced in turn': _replace_in_turn,
-    'three quarters more are added': _add_many,
+    'nearly half are replaced in batches': _roll_entries,
+    'three quarters are added': _add_many,
     'a zone is lost': _lose_zone,
-    'the store turns a third away': _turn_away_a_third,
+    'the store rejects a third': _reject_a_third,
     'all readers die': _lose_readers,
 }
 
@@ -74,14 +74,14 @@
 
 
 @pytest.mark.parametrize('loss', [0, 0.03])
-@pytest.mark.parametrize('trouble', _TROUBLES)
-def test_fleet_goes_on(trouble: str, loss: float) -> None:
+@pytest.mark.parametrize('fault', _FAULTS)
+def test_fleet_converges_after_fault(fault: str, loss: float) -> None:
     world = FleetWorld(_ZONES, _REGIONS, loss)
-    world.change_store(2)
+    world.set_store_revision(2)
     world.wait(3)
-    _TROUBLES[trouble](world)
-    world.change_store(9)
-    world.wait(_IN_FORCE)
+    _FAULTS[fault](world)
+    world.set_store_revision(9)
+    world.wait(_CONVERGENCE_TIME)
     versions = set()
     for state in world.states.values():
         assert isinstance(state.configuration, RoutingConfiguration)
@@ -89,7 +89,7 @@
     assert versions == {9}
     readers = _readers_by_region(world)
     assert min(readers.values()) >= 1
-    assert max(readers.values()) <= _MOST_READERS
+    assert max(readers.values()) <= _MAX_READERS
     names = set(world.states)
     for name in names:
-        assert world.known(name) == names - {name}
+        assert world.alive_entries(name) == names - {name}
--- a/tests/steering/test_peer_news.py
+++ b/tests/steering/test_peer_news.py
@@ -1,4 +1,4 @@
-"""News of the store between entries, over real sockets."""
+"""Store updates between entries, over real sockets."""
 
 import asyncio
 import itertools
@@ -36,32 +36,32 @@
 
 
 class RecordingEngine(SteeringEngine):
-    """Keeps the events instead of reducing them."""
+    """Records the events instead of reducing them."""
 
     def __init__(self, state: SteeringState) -> None:
-        """Begin without events."""
+        """Start without events."""
         super().__init__(state)
         self.events: list[Event] = []
 
     def dispatch(self, event: Event) -> None:
-        """Keep an event."""
+        """Record an event."""
         self.events.append(event)
 
 
-class Garbage:
-    """Answers with something that is no news."""
+class GarbageHandler:
+    """Answers with bytes that are no store update."""
 
     def arrived(self, exchange: Exchange) -> None:
-        """Answer."""
+        """Answer the request."""
         exchange.answer_document(b'\xc1')
 
     def caller_gone(self, exchange: Exchange) -> None:
-        """Nothing is under way."""
+        """Ignore the disconnect; no request is in progress."""
 
 
 def _serve(
     handler: ExchangeHandler,
-    use: Callable[[str], Awaitable[Any]],
+    call: Callable[[str], Awaitable[Any]],
 ) -> Any:
     async def run() -> Any:
         server = ExchangeServer(handler, HttpLimits(), itertools.count(1))
@@ -69,20 +69,20 @@
         server.add_socket(socket)
         try:
             async with asyncio.timeout(30):
-                return await use(f'127.0.0.1:{port}')
+                return await call(f'127.0.0.1:{port}')
         finally:
             server.stop()
 
     return asyncio.run(run())
 
 
-def _teller() -> NewsHandler:
+def _source() -> NewsHandler:
     world = World((), (upstream('1'), upstream('2')))
     return NewsHandler(SteeringEngine(world.state))
 
 
 def _fetch(handler: ExchangeHandler, kind: StoreKind) -> Event:
-    async def use(peer: str) -> Event:
+    async def call(peer: str) -> Event:
         engine = RecordingEngine(World().state)
         client = NewsClient(engine, ConnectionPool(engine.now))
         client.fetch(FetchStoreUpdate(kind, peer, 0))
@@ -90,20 +90,20 @@
         client.pool.close()
         return engine.events[0]
 
-    event: Event = _serve(handler, use)
+    event: Event = _serve(handler, call)
     return event
 
 
 @pytest.fixture
-def ample_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Both sides share one loop, which a busy machine may hold up.
+def long_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Both sides share one event loop, which a busy machine may delay.
     monkeypatch.setattr(_peers, '_TIMEOUT', 30.0)
 
 
-@pytest.mark.usefixtures('ample_time')
+@pytest.mark.usefixtures('long_timeout')
 @pytest.mark.parametrize('kind', StoreKind)
-def test_news_cross_real_sockets(kind: StoreKind) -> None:
-    event = _fetch(_teller(), kind)
+def test_updates_cross_real_sockets(kind: StoreKind) -> None:
+    event = _fetch(_source(), kind)
     assert isinstance(event, StoreUpdateFetched)
     assert event.kind is kind
     assert event.news.revision == 1
@@ -113,19 +113,21 @@
     assert configured is (kind is StoreKind.CONFIGURATION)
 
 
-@pytest.mark.usefixtures('ample_time')
-def test_configuration_is_the_same_after_its_way() -> None:
-    handler = _teller()
+@pytest.mark.usefixtures('long_timeout')
+def test_configuration_round_trips() -> None:
+    handler = _source()
     event = _fetch(handler, StoreKind.CONFIGURATION)
     assert isinstance(event, StoreUpdateFetched)
     assert event.news.configuration == handler.engine.state.configuration
 
 
-def test_what_makes_no_sense_is_missed() -> None:
-    assert isinstance(_fetch(Garbage(), StoreKind.UPSTREAMS), StoreUpdateFailed)
+def test_malformed_update_is_a_failure() -> None:
+    assert isinstance(
+        _fetch(GarbageHandler(), StoreKind.UPSTREAMS), StoreUpdateFailed
+    )
 
 
-def test_entry_that_does_not_answer_is_missed() -> None:
+def test_missing_answer_is_a_failure() -> None:
     async def run() -> Event:
         engine = RecordingEngine(World().state)
         client = NewsClient(engine, ConnectionPool(engine.now))
@@ -145,23 +147,23 @@
         ('/other', 404, 2011),
     ],
 )
-def test_bad_questions_get_numbered_results(
+def test_invalid_fetches_get_result_codes(
     target: str, status: int, result: int
 ) -> None:
-    async def use(peer: str) -> Any:
+    async def call(peer: str) -> Any:
         return await AsyncHTTPClient().fetch(
             f'http://{peer}{target}', raise_error=False
         )
 
-    response = _serve(_teller(), use)
+    response = _serve(_source(), call)
     assert response.code == status
     assert msgspec.json.decode(response.body)['result'] == result
 
 
-def test_news_are_what_the_reducer_hands_out() -> None:
-    async def use(peer: str) -> Any:
+def test_served_update_matches_the_state() -> None:
+    async def call(peer: str) -> Any:
         url = f'http://{peer}/news?kind=evacuations&since=0'
         return (await AsyncHTTPClient().fetch(url)).body
 
-    told = msgspec.msgpack.decode(_serve(_teller(), use), type=StoreUpdate)
-    assert told == StoreUpdate(1, complete=True)
+    update = msgspec.msgpack.decode(_serve(_source(), call), type=StoreUpdate)
+    assert update == StoreUpdate(1, complete=True)
--- a/tests/steering/test_requests.py
+++ b/tests/steering/test_requests.py
@@ -1,4 +1,4 @@
-"""What happens to requests, whatever their attempts end with."""
+"""The life cycle of requests for each outcome of their attempts."""
 
 import pytest
 
@@ -22,9 +22,9 @@
 _LOAD = route('load', kind=RouteKind.DOWNLOAD)
 _UPSTREAMS = tuple(upstream(name) for name in ('1', '2', '3'))
 
-# Route, how the first attempt ends, whether it is sent once more, and what
-# the caller is told if not.
-_ENDS = (
+# Route, outcome of the first attempt, whether a second one is made, and the
+# result code if not.
+_OUTCOMES = (
     ('read', AttemptOutcome.NOT_CONNECTED, True, None),
     ('read', AttemptOutcome.NOT_EXECUTED, True, None),
     ('read', AttemptOutcome.OTHER_UPSTREAM, True, None),
@@ -56,18 +56,18 @@
     return [answer.code for answer in of_type(world.effects, AnswerResult)]
 
 
-@pytest.mark.parametrize(('name', 'outcome', 'again', 'code'), _ENDS)
-def test_after_first_attempt(
+@pytest.mark.parametrize(('name', 'outcome', 'retried', 'code'), _OUTCOMES)
+def test_retry_after_first_attempt(
     name: str,
     outcome: AttemptOutcome,
-    again: bool,
+    retried: bool,
     code: ResultCode | None,
 ) -> None:
     world = _world()
     number = world.ask(name)
     world.end(number, outcome)
     sent = world.sent(number)
-    assert len(sent) == (2 if again else 1)
+    assert len(sent) == (2 if retried else 1)
     assert len(set(sent)) == len(sent)
     assert _codes(world) == ([code] if code else [])
 
@@ -83,7 +83,7 @@
     assert code.certainty is Certainty.NOT_RUN
 
 
-def test_maybe_executed_is_never_called_refused() -> None:
+def test_possibly_executed_request_is_not_reported_as_refused() -> None:
     world = _world()
     number = world.ask('read')
     world.end(number, AttemptOutcome.BROKE_BEFORE_ANSWER)
@@ -92,7 +92,7 @@
     assert code.certainty is Certainty.UNKNOWN
 
 
-def test_attempts_of_the_route_bound_sends() -> None:
+def test_max_attempts_of_the_route_limits_sends() -> None:
     world = World((route('read', max_attempts=3),), _UPSTREAMS)
     number = world.ask()
     for _ in range(3):
@@ -101,7 +101,7 @@
     assert _codes(world) == [ResultCode.UPSTREAM_BROKE]
 
 
-def test_unconnected_attempts_are_bounded_too() -> None:
+def test_failed_connections_are_limited() -> None:
     many = tuple(upstream(str(name)) for name in range(9))
     world = World((_READ,), many)
     number = world.ask()
@@ -112,11 +112,11 @@
 
 
 @pytest.mark.parametrize('name', ['read', 'write'])
-def test_misdirected_request_goes_on_to_upstreams_that_are_there(
+def test_misdirected_request_is_retried_at_other_upstreams(
     name: str,
 ) -> None:
-    # Found on a day on which addresses changed hands: callers were refused
-    # after two upstreams that were gone, with 12 s of their time left.
+    # On a day on which addresses were reassigned, callers were refused after
+    # two absent upstreams, with 12 s of their time left.
     many = tuple(upstream(str(name)) for name in range(9))
     world = World((_READ, _WRITE), many)
     number = world.ask(name)
@@ -127,7 +127,7 @@
     assert not _codes(world)
 
 
-def test_misdirected_requests_are_bounded_too() -> None:
+def test_misdirected_attempts_are_limited() -> None:
     many = tuple(upstream(str(name)) for name in range(9))
     world = World((_READ,), many)
     number = world.ask()
@@ -137,14 +137,14 @@
     assert _codes(world) == [ResultCode.UPSTREAM_UNREACHABLE]
 
 
-def test_body_that_is_not_kept_is_not_sent_again() -> None:
+def test_request_without_buffered_body_is_not_retried() -> None:
     world = _world()
     number = world.ask()
     world.end(number, AttemptOutcome.NOT_EXECUTED, replayable=False)
     assert len(world.sent(number)) == 1
 
 
-def test_upstream_is_told_no_more_time_than_is_left() -> None:
+def test_upstream_gets_the_remaining_time() -> None:
     world = _world()
     number = world.ask(time_left=1.5)
     world.now += 0.6
@@ -153,7 +153,7 @@
     assert [round(send.deadline - world.now, 6) for send in sends] == [0.9, 0.9]
 
 
-def test_timeout_of_the_route_ends_longer_patience() -> None:
+def test_route_timeout_limits_the_time_of_the_caller() -> None:
     world = _world()
     world.ask(time_left=30.0)
     (send,) = of_type(world.effects, SendUpstream)
@@ -161,19 +161,19 @@
     assert send.give_up_at - send.deadline < 0.25
 
 
-@pytest.mark.parametrize(('name', 'cut'), [('read', 1), ('write', 0)])
-def test_caller_gone(name: str, cut: int) -> None:
+@pytest.mark.parametrize(('name', 'cancelled'), [('read', 1), ('write', 0)])
+def test_attempt_after_the_caller_has_left(name: str, cancelled: int) -> None:
     world = _world()
     number = world.ask(name)
     world.run(CallerGone(world.now, number))
-    assert len(of_type(world.effects, CancelAttempt)) == cut
+    assert len(of_type(world.effects, CancelAttempt)) == cancelled
     world.end(number, AttemptOutcome.BROKE_BEFORE_ANSWER)
     assert len(world.sent(number)) == 1
     assert not _codes(world)
     assert not world.state.requests
 
 
-def test_late_end_of_an_earlier_attempt_changes_nothing() -> None:
+def test_late_end_of_an_earlier_attempt_is_ignored() -> None:
     world = _world()
     number = world.ask()
     world.end(number, AttemptOutcome.NOT_EXECUTED)
@@ -197,7 +197,7 @@
     assert _codes(world) == [code]
 
 
-def test_no_configuration_is_no_unknown_route() -> None:
+def test_missing_configuration_is_not_an_unknown_route() -> None:
     world = _world()
     fresh = World.__new__(World)
     fresh.__dict__.update(world.__dict__)
@@ -209,14 +209,14 @@
     assert _codes(fresh) == [ResultCode.NOT_READY]
 
 
-def test_dropped_route_is_unknown_from_its_version_on() -> None:
+def test_removed_route_is_unknown_from_its_version_on() -> None:
     world = _world()
     world.run(ConfigurationRead(world.now, configuration(2, (_WRITE,))))
     world.ask('read')
     assert _codes(world) == [ResultCode.UNKNOWN_ROUTE]
 
 
-def test_refusal_says_when_to_come_back() -> None:
+def test_refusal_has_a_retry_time() -> None:
     world = World((_READ,), ())
     world.ask()
     (answer,) = of_type(world.effects, AnswerResult)
@@ -224,14 +224,14 @@
     assert 0 < answer.retry_after <= 1
 
 
-def test_expired_deadline_is_not_sent() -> None:
+def test_request_with_expired_deadline_is_not_sent() -> None:
     world = _world()
     number = world.ask(time_left=0.0)
     assert not world.sent(number)
     assert _codes(world) == [ResultCode.DEADLINE_EXPIRED]
 
 
-def test_queue_that_outlasts_the_target_is_refused_at_once() -> None:
+def test_request_is_refused_if_the_queue_exceeds_the_target() -> None:
     world = World((_READ,), (upstream('1'),))
     while not _codes(world):
         world.ask()
@@ -240,7 +240,7 @@
     assert 3 < world.requests < 20
 
 
-def test_returned_caller_may_wait_longer() -> None:
+def test_retrying_caller_may_wait_longer() -> None:
     world = World((_READ,), (upstream('1'),))
     while not _codes(world):
         world.ask()
@@ -248,7 +248,7 @@
     assert world.sent(number)
 
 
-def test_leaving_entry_serves_on_then_refuses() -> None:
+def test_leaving_entry_first_serves_then_refuses() -> None:
     world = _world(bounds=SteeringBounds(grace_period=6))
     world.run(StopRequested(world.now))
     assert world.sent(world.ask())
@@ -258,26 +258,26 @@
 
 
 @pytest.mark.parametrize(
-    ('name', 'moved'), [('read', True), ('write', False), ('load', False)]
+    ('name', 'rerouted'), [('read', True), ('write', False), ('load', False)]
 )
-def test_silent_upstream_loses_what_may_be_repeated(
-    name: str, moved: bool
+def test_retriable_requests_leave_an_unresponsive_upstream(
+    name: str, rerouted: bool
 ) -> None:
-    # Looking into incident inc-4fbf of tally-ja showed that nothing counted
-    # against an upstream that says nothing.
+    # Before, an upstream that did not answer at all had no failures counted
+    # against it (incident inc-4fbf).
     world = _world()
     number = world.ask(name)
-    (silent,) = world.sent(number)
-    cuts = of_type(world.wait(1.4), CancelAttempt)
-    assert bool(cuts) is moved
-    if moved:
+    (unresponsive,) = world.sent(number)
+    cancels = of_type(world.wait(1.4), CancelAttempt)
+    assert bool(cancels) is rerouted
+    if rerouted:
         world.end(number, AttemptOutcome.CANCELLED, status=0)
         assert len(set(world.sent(number))) == 2
     others = {world.sent(world.ask(name))[0] for _ in range(6)}
-    assert silent not in others
+    assert unresponsive not in others
 
 
-def test_answering_upstream_keeps_its_slow_request() -> None:
+def test_responsive_upstream_keeps_its_slow_request() -> None:
     world = World((_READ,), (upstream('1'), upstream('2')))
     world.ask(key='k')
     for _ in range(10):
@@ -287,12 +287,12 @@
     assert not of_type(world.effects, CancelAttempt)
 
 
-def test_caller_that_waited_in_vain_speaks_against_the_upstream() -> None:
+def test_caller_timeouts_count_against_the_upstream() -> None:
     world = World((route('read', max_attempts=1),), _UPSTREAMS)
-    (silent,) = world.sent(world.ask(key='k'))
+    (unresponsive,) = world.sent(world.ask(key='k'))
     for _ in range(3):
         number = world.ask(key='k')
         world.state.requests[number].sent_at -= 1.9
         world.run(CallerGone(world.now, number))
         world.end(number, AttemptOutcome.CANCELLED, status=0)
-    assert silent not in world.sent(world.ask(key='k'))
+    assert unresponsive not in world.sent(world.ask(key='k'))
--- a/tests/steering/test_starting.py
+++ b/tests/steering/test_starting.py
@@ -1,4 +1,4 @@
-"""What a fresh entry does before it can have heard of the others."""
+"""Behaviour of a new entry before it can have discovered the others."""
 
 import pytest
 
@@ -8,12 +8,12 @@
 from worksrail.core.steering.effects import ExitProcess
 from worksrail.core.steering.events import AttemptOutcome, StopRequested
 
-# Seconds until a fresh entry may have heard of all others, and some more.
-_SETTLED = 0.6
+# Seconds after which a new entry has discovered all others, with a margin.
+_DISCOVERED = 0.6
 
 
-def _fresh(**options: object) -> World:
-    """An entry that has just read the store."""
+def _new_entry(**options: object) -> World:
+    """Build an entry that has just read the store."""
     world = World(
         (route(max_attempts=2),),
         (upstream('1'), upstream('2')),
@@ -24,21 +24,21 @@
     return world
 
 
-def test_fresh_entry_serves_as_soon_as_it_knows_the_store() -> None:
-    # Each tenth of a second costs the callers of a whole fleet that restarts.
-    world = _fresh()
+def test_new_entry_serves_as_soon_as_it_knows_the_store() -> None:
+    # When a whole fleet restarts, callers wait for each tenth of a second.
+    world = _new_entry()
     number = world.ask(key='k')
     assert len(world.sent(number)) == 1
 
 
-@pytest.mark.parametrize(('waited', 'sends'), [(0, 1), (_SETTLED, 2)])
-def test_fresh_entry_takes_no_part_of_the_shared_budget(
+@pytest.mark.parametrize(('waited', 'sends'), [(0, 1), (_DISCOVERED, 2)])
+def test_new_entry_takes_no_share_of_the_budget(
     waited: float,
     sends: int,
 ) -> None:
-    # Fresh entries that each take themselves for the only one would all
-    # spend the whole extra number.
-    world = _fresh()
+    # New entries that each consider themselves the only one would each spend
+    # the complete extra budget.
+    world = _new_entry()
     world.wait(waited)
     number = world.ask()
     world.end(number, AttemptOutcome.BROKE_BEFORE_ANSWER)
@@ -47,9 +47,9 @@
 
 @pytest.mark.parametrize(
     ('waited', 'expected'),
-    [(0, []), (_SETTLED, ['1'])],
+    [(0, []), (_DISCOVERED, ['1'])],
 )
-def test_fresh_entry_leaves_cold_upstreams_alone(
+def test_new_entry_avoids_cold_upstreams(
     waited: float,
     expected: list[str],
 ) -> None:
@@ -64,10 +64,10 @@
     assert world.sent(second) == expected
 
 
-@pytest.mark.parametrize('waited', [0, _SETTLED])
-def test_fresh_entry_names_nobody_to_callers(waited: float) -> None:
-    # Callers keep the answer that they have, which names more entries.
-    world = _fresh()
+@pytest.mark.parametrize('waited', [0, _DISCOVERED])
+def test_new_entry_answers_no_look_ups(waited: float) -> None:
+    # Callers keep their previous answer, which lists more entries.
+    world = _new_entry()
     world.wait(waited)
     found = look_up(world.state, 'a', 'a1', world.now)
     if waited:
@@ -80,8 +80,8 @@
 def test_only_an_entry_that_was_ready_waits_for_late_callers(
     ready: bool, ends: bool
 ) -> None:
-    # Others were named an entry that was ready, and callers may still come.
-    world = _fresh()
+    # Look-ups listed an entry that was ready, so callers may still come.
+    world = _new_entry()
     world.state.ready = ready
     world.run(StopRequested(world.now))
     assert bool(of_type(world.wait(0.2), ExitProcess)) is ends
--- a/tests/steering/test_store.py
+++ b/tests/steering/test_store.py
@@ -1,4 +1,4 @@
-"""What the entry believes of what it reads from the store."""
+"""How the entry applies what it reads from the store."""
 
 import pytest
 
@@ -34,7 +34,7 @@
     ('versions', 'in_force'),
     [((2,), 2), ((3, 2), 3), ((2, 2), 2), ((10, 9, 11), 11)],
 )
-def test_highest_version_wins_for_ever(
+def test_highest_version_stays_in_force(
     versions: tuple[int, ...], in_force: int
 ) -> None:
     world = World()
@@ -50,13 +50,13 @@
     assert set(current.routes['orders.example']) == {f'/v{in_force}/'}
 
 
-def test_entry_that_goes_is_gone_at_once() -> None:
+def test_removed_upstream_is_dropped_at_once() -> None:
     world = World((), _ALL)
     world.run(UpstreamsChanged(world.now, (), ('1',)))
     assert _usable(world) == {'2', '3'}
 
 
-def test_lapsed_entries_stay_until_the_store_has_been_back() -> None:
+def test_expired_records_are_kept_until_the_store_has_recovered() -> None:
     world = World((), _ALL)
     _answer(world)
     world.check_failure = 'no answer'
@@ -72,27 +72,27 @@
 
 
 @pytest.mark.parametrize(
-    ('away_for', 'kept'),
+    ('outage', 'kept'),
     [
-        # A watch was cut off and begun again at once, and upstreams that had
-        # left in that moment were kept for two seconds more.
+        # An interrupted watch that was restarted at once kept upstreams that
+        # had left in that moment for two seconds more.
         (0.2, False),
         (1.4, False),
         (1.6, True),
         (3.1, True),
     ],
 )
-def test_cut_watch_is_no_outage(away_for: float, kept: bool) -> None:
+def test_interrupted_watch_is_no_outage(outage: float, kept: bool) -> None:
     world = World((), _ALL)
     _answer(world)
     world.check_failure = 'no answer'
-    world.wait(away_for)
+    world.wait(outage)
     _answer(world)
     world.run(UpstreamsListed(world.now, _ALL[1:]))
     assert ('1' in _usable(world)) is kept
 
 
-def test_draining_counts_though_the_store_was_away() -> None:
+def test_draining_applies_right_after_an_outage() -> None:
     world = World((), _ALL)
     _answer(world)
     world.check_failure = 'no answer'
@@ -103,7 +103,7 @@
     assert _usable(world) == {'2', '3'}
 
 
-def test_drained_entry_does_not_come_back_by_an_old_report() -> None:
+def test_drained_upstream_is_not_restored_by_an_old_report() -> None:
     world = World((), _ALL)
     drained = upstream('1', draining=True, sequence=5)
     world.run(UpstreamsChanged(world.now, (drained, _ALL[0]), ()))
@@ -117,7 +117,7 @@
         (upstream('1', sequence=2), False),
     ],
 )
-def test_upstream_may_turn_cold_again(
+def test_upstream_may_become_cold_again(
     record: UpstreamRecord, cold: bool
 ) -> None:
     world = World((), _ALL)
@@ -134,10 +134,10 @@
         (451, DecisionKind.UPSTREAMS_KNOWN, 1),
     ],
 )
-def test_many_upstreams_at_once_are_counted_not_named(
+def test_many_upstreams_at_once_are_logged_as_a_count(
     count: int, kind: DecisionKind, lines: int
 ) -> None:
-    # The log allows 100 lines of a kind in a second and drops the others.
+    # The log allows 100 lines of a kind a second and drops the others.
     world = World()
     records = tuple(upstream(str(name), cold_time=3) for name in range(count))
     written = of_type(world.run(UpstreamsListed(world.now, records)), Decision)
@@ -148,7 +148,7 @@
         assert found[0].inputs == (('count', count),)
 
 
-def test_line_of_a_request_tells_the_address_of_its_upstream() -> None:
+def test_log_line_of_a_request_has_the_upstream_address() -> None:
     world = World((), _ALL)
     number = world.ask()
     (sent,) = world.sent(number)
--- a/tests/steering/test_watching.py
+++ b/tests/steering/test_watching.py
@@ -1,4 +1,4 @@
-"""Who reads the store, and how the others learn of changes."""
+"""Which entries read the store, and how the others receive changes."""
 
 from collections.abc import Callable, Sequence
 
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize(('zones', 'watchers'), _SIZES)
-def test_calls_to_the_store_grow_with_the_regions(
+def test_number_of_watchers_grows_with_the_regions(
     zones: dict[str, int], watchers: int
 ) -> None:
     world = FleetWorld(zones, _REGIONS)
@@ -60,10 +60,10 @@
 
 
 @pytest.mark.parametrize('loss', [0, 0.1])
-def test_change_that_one_entry_reads_is_in_force_everywhere(
+def test_change_read_by_one_entry_reaches_all(
     loss: float,
 ) -> None:
-    # All other watchers are turned away by the store.
+    # The store rejects all other watchers.
     world = FleetWorld({'a1': 9, 'a2': 9, 'b1': 9}, _REGIONS, loss)
     world.wait(5)
     reader = min(world.watchers())
@@ -74,7 +74,7 @@
         assert set(state.catalog.upstreams) == {'u'}
 
 
-def test_watchers_that_read_themselves_tell_all_others() -> None:
+def test_changes_read_by_watchers_reach_all() -> None:
     world = FleetWorld({'a1': 5, 'b1': 5}, _REGIONS)
     world.wait(5)
     for name in world.watchers():
@@ -83,7 +83,7 @@
     assert _versions(world) == {7}
 
 
-def test_watcher_that_dies_is_replaced() -> None:
+def test_dead_watcher_is_replaced() -> None:
     world = FleetWorld({'a1': 5}, _REGIONS)
     world.wait(5)
     for name in world.watchers():
@@ -92,12 +92,12 @@
     assert len(world.watchers()) == 2
 
 
-def test_fresh_entry_learns_from_others() -> None:
+def test_new_entry_syncs_from_peers() -> None:
     world = FleetWorld({'a1': 5}, _REGIONS)
     world.wait(5)
     (name, *_) = set(world.states) - world.watchers()
     world.stop(name)
-    world.told = False
+    world.with_initial_state = False
     world.start(name)
     world.wait(1.5)
     assert _versions(world) == {1}
@@ -105,9 +105,9 @@
     assert not world.states[name].watching
 
 
-def test_entry_without_others_reads_the_store_soon() -> None:
-    world = FleetWorld({'a1': 1}, _REGIONS, told=False)
-    world.change_store(3)
+def test_single_entry_reads_the_store_soon() -> None:
+    world = FleetWorld({'a1': 1}, _REGIONS, with_initial_state=False)
+    world.set_store_revision(3)
     world.wait(0.2)
     assert _versions(world) == {3}
     assert world.states['a1-0'].ready
@@ -115,8 +115,8 @@
     assert world.watchers() == {'a1-0'}
 
 
-def test_entries_that_know_nothing_all_read_at_last() -> None:
-    world = FleetWorld({'a1': 5}, _REGIONS, told=False)
+def test_entries_without_any_state_all_become_watchers() -> None:
+    world = FleetWorld({'a1': 5}, _REGIONS, with_initial_state=False)
     world.wait(1.9)
     assert len(world.watchers()) == 2
     world.wait(0.3)
@@ -126,10 +126,11 @@
 _LARGE = {'a1': 40, 'a2': 40, 'b1': 40}
 
 
-def test_large_fleet_that_starts_is_read_for_by_few() -> None:
-    # Each entry taking the duty for its own until it knew better, 120 watched.
-    world = FleetWorld(_LARGE, _REGIONS, told=False)
-    world.change_store(3)
+def test_starting_large_fleet_has_few_watchers() -> None:
+    # When each entry considered itself a watcher until it knew the others, 120
+    # entries watched.
+    world = FleetWorld(_LARGE, _REGIONS, with_initial_state=False)
+    world.set_store_revision(3)
     watching = set()
     for _ in range(40):
         world.wait(0.05)
@@ -140,100 +141,103 @@
 
 
 @pytest.mark.parametrize(
-    'turned_away',
+    'rejected',
     [
         pytest.param(lambda name, _: name.endswith(('0', '3', '6')), id='some'),
-        pytest.param(lambda _, watching: watching, id='all that watch'),
+        pytest.param(lambda _, watching: watching, id='all watchers'),
     ],
 )
-def test_fleet_follows_though_the_store_turns_entries_away(
-    turned_away: Callable[[str, bool], bool],
+def test_fleet_converges_though_the_store_rejects_entries(
+    rejected: Callable[[str, bool], bool],
 ) -> None:
     world = FleetWorld(_LARGE, _REGIONS)
     world.wait(3)
     watchers = world.watchers()
-    world.turned_away = {
-        name for name in world.states if turned_away(name, name in watchers)
+    world.rejected = {
+        name for name in world.states if rejected(name, name in watchers)
     }
-    world.change_store(7)
+    world.set_store_revision(7)
     world.wait(1.8)
     assert _versions(world) == {7}
-    # Those who are turned away keep trying; as many others read beside them.
+    # Rejected watchers keep trying; as many other entries read in addition.
     assert len(world.watchers()) <= 8
 
 
 @pytest.mark.parametrize('phase', [step * 0.05 for step in range(8)])
-def test_news_cross_zones_at_once(phase: float) -> None:
-    # Zones tell each other every 0.4 s; news that waited for that came after
-    # 0.75 s at the latest.
+def test_changes_cross_zones_at_once(phase: float) -> None:
+    # Zones exchange digests every 0.4 s. When changes waited for the next one,
+    # they took up to 0.75 s.
     world = FleetWorld({'a1': 5, 'b1': 5}, _REGIONS)
-    world.change_store(2)
-    world.turned_away = {name for name in world.states if name[0] == 'b'}
+    world.set_store_revision(2)
+    world.rejected = {name for name in world.states if name[0] == 'b'}
     world.wait(5 + phase)
-    world.change_store(7)
+    world.set_store_revision(7)
     world.wait(0.65)
     assert _versions(world) == {7}
 
 
-def test_store_that_nobody_reaches_is_called_by_few() -> None:
+def test_unreachable_store_is_called_by_few_entries() -> None:
     world = FleetWorld(_LARGE, _REGIONS)
     world.wait(3)
-    world.turned_away = set(world.states)
-    world.change_store(7)
+    world.rejected = set(world.states)
+    world.set_store_revision(7)
     world.wait(5)
     assert len(world.watchers()) <= 8
-    world.turned_away.clear()
+    world.rejected.clear()
     world.wait(2)
     assert _versions(world) == {7}
 
 
-def _hear_of_more(world: World, number: int) -> list[FetchStoreUpdate]:
-    told = EntryDigest(contact('two', revisions=(9, 9, 9)), number, {}, ())
-    world.run(DigestReceived(world.now, told))
+def _receive_later_revision(
+    world: World, number: int
+) -> list[FetchStoreUpdate]:
+    digest = EntryDigest(contact('two', revisions=(9, 9, 9)), number, {}, ())
+    world.run(DigestReceived(world.now, digest))
     return of_type(world.wait(0.05), FetchStoreUpdate)
 
 
 def test_watcher_waits_for_its_own_watch_first() -> None:
     world = World(settle=1.2)
     assert world.state.watching
-    asked = [_hear_of_more(world, number) for number in range(1, 15)]
+    asked = [_receive_later_revision(world, number) for number in range(1, 15)]
     first = next(at for at, fetches in enumerate(asked) if fetches)
-    # 0.4 s, seen at one of the looks that are 0.1 s apart.
+    # 0.4 s, noticed by one of the checks that run every 0.1 s.
     assert 7 <= first <= 10
     assert {one.kind for one in asked[first]} == set(StoreKind)
 
 
-def test_watcher_that_the_store_does_not_answer_asks_at_once() -> None:
+def test_watcher_with_failing_reads_fetches_at_once() -> None:
     world = World(settle=1.2)
     for kind in StoreKind:
         world.run(StoreLost(world.now, kind, 'busy'))
-    asked = [_hear_of_more(world, number) for number in range(1, 4)]
+    asked = [_receive_later_revision(world, number) for number in range(1, 4)]
     assert {one.kind for fetches in asked for one in fetches} == set(StoreKind)
 
 
-def test_failed_fetch_is_made_again() -> None:
+def test_failed_fetch_is_retried() -> None:
     world = World(settle=1.2)
     for number in range(1, 15):
-        _hear_of_more(world, number)
+        _receive_later_revision(world, number)
     asked = of_type(world.effects, FetchStoreUpdate)
     assert [one.kind for one in asked] == list(StoreKind)
     world.run(StoreUpdateFailed(world.now, asked[0].kind, asked[0].peer))
-    again = _hear_of_more(world, 15)
+    again = _receive_later_revision(world, 15)
     assert [one.kind for one in again] == [asked[0].kind]
 
 
 @pytest.mark.parametrize(
-    ('answers', 'age', 'returned', 'kept'),
+    ('answers', 'age', 'recovered', 'kept'),
     [
-        # Seconds ago at which the store is known to have answered; tenths of a
-        # second since it did when the other entry told the removal, and since
-        # somebody who had asked in vain was answered.
+        # Ages in seconds of the known answers of the store; then, in tenths of
+        # a second as of the removal, the other entry's age of the last answer
+        # and of the first answer after failed calls.
         ((), None, None, False),
         ((9,), 5, 5, True),
         ((9,), 5, 9, True),
-        # Nobody asked in vain: the store may have answered all the while.
+        # No call failed: the store may have answered all along.
         ((9,), 5, None, False),
-        # Whoever asked in vain was cut off: others were answered meanwhile.
+        # The entry with failed calls was cut off: others were answered
+        # meanwhile.
         ((9, 0.9), 1, 0, False),
         ((9, 2, 0.2), 1, 1, True),
         (
@@ -245,83 +249,83 @@
         ((60, 30, *(tenth / 10 for tenth in range(299, 0, -9))), 1, 1, False),
     ],
 )
-def test_removal_told_by_another_entry_minds_the_return_of_the_store(
+def test_removal_fetched_from_a_peer_respects_store_recovery(
     answers: tuple[float, ...],
     age: int | None,
-    returned: int | None,
+    recovered: int | None,
     kept: bool,
 ) -> None:
     world = World((), (upstream('1'), upstream('2')))
     for ago in answers:
         world.state.catalog.store_health.record_answer(world.now - ago)
-    news = StoreUpdate(5, removed=('1',), store_age=age, store_return=returned)
+    news = StoreUpdate(5, removed=('1',), store_age=age, store_return=recovered)
     world.run(StoreUpdateFetched(world.now, StoreKind.UPSTREAMS, 'p', news))
     assert ('1' in world.state.catalog.upstreams) is kept
     for _ in range(22):
-        world.state.catalog.store_health.hear_age(0, world.now)
+        world.state.catalog.store_health.merge_age(0, world.now)
         world.wait(0.1)
     assert set(world.state.catalog.upstreams) == {'2'}
 
 
 @pytest.mark.parametrize('since', [0, 1])
 @pytest.mark.parametrize('returns', [True, False])
-def test_what_one_entry_keeps_for_a_while_is_not_kept_for_ever_by_others(
+def test_upstream_kept_by_one_entry_is_not_kept_forever_by_others(
     since: int, returns: bool
 ) -> None:
-    # An entry that fetched news while its teller kept a missing upstream took
-    # it for listed, and was never told that it had gone.
+    # An entry that asked an update while the source still kept a missing
+    # upstream once treated it as listed, and never learned of its removal.
     known = (upstream('1'), upstream('2'))
-    teller, follower = World((), known), World((), known)
-    for world in (teller, follower):
+    source, follower = World((), known), World((), known)
+    for world in (source, follower):
         simulate_outage(world.state, 9, world.now)
-    teller.run(UpstreamsChanged(teller.now, (), ('1',), 5))
-    _tell(teller, follower, since)
+    source.run(UpstreamsChanged(source.now, (), ('1',), 5))
+    _fetch(source, follower, since)
     assert set(follower.state.catalog.upstreams) == {'1', '2'}
     if returns:
         again = upstream('1', sequence=9)
-        teller.run(UpstreamsChanged(teller.now, (again,), (), 6))
-        _tell(teller, follower, 5)
-    for world in (teller, follower):
+        source.run(UpstreamsChanged(source.now, (again,), (), 6))
+        _fetch(source, follower, 5)
+    for world in (source, follower):
         world.wait(3)
     remaining = {'1', '2'} if returns else {'2'}
-    for world in (teller, follower):
+    for world in (source, follower):
         assert set(world.state.catalog.upstreams) == remaining
 
 
 @pytest.mark.parametrize('since', [0, 1])
-def test_entry_without_memory_learns_what_others_keep(since: int) -> None:
-    teller, fresh = World((), (upstream('1'),)), World()
-    for world in (teller, fresh):
+def test_new_entry_learns_which_upstreams_others_keep(since: int) -> None:
+    source, fresh = World((), (upstream('1'),)), World()
+    for world in (source, fresh):
         simulate_outage(world.state, 9, world.now)
-    teller.run(UpstreamsChanged(teller.now, (), ('1',), 5))
-    _tell(teller, fresh, since)
+    source.run(UpstreamsChanged(source.now, (), ('1',), 5))
+    _fetch(source, fresh, since)
     assert set(fresh.state.catalog.upstreams) == ({'1'} if not since else set())
     fresh.wait(3)
     assert not fresh.state.catalog.upstreams
 
 
-def _tell(teller: World, follower: World, since: int) -> None:
+def _fetch(source: World, follower: World, since: int) -> None:
     news = store_update_since(
-        teller.state, StoreKind.UPSTREAMS, since, teller.now
+        source.state, StoreKind.UPSTREAMS, since, source.now
     )
     follower.run(
         StoreUpdateFetched(follower.now, StoreKind.UPSTREAMS, 'p', news)
     )
 
 
-def test_entry_that_is_turned_away_takes_removals_from_others() -> None:
+def test_rejected_entry_applies_removals_from_peers() -> None:
     world = World((), (upstream('1'), upstream('2')))
     for _ in range(10):
         for kind in StoreKind:
             world.run(StoreLost(world.now, kind, 'busy'))
-        world.state.catalog.store_health.hear_age(2, world.now)
+        world.state.catalog.store_health.merge_age(2, world.now)
         world.wait(0.5)
     news = StoreUpdate(5, removed=('1',), store_age=2)
     world.run(StoreUpdateFetched(world.now, StoreKind.UPSTREAMS, 'p', news))
     assert set(world.state.catalog.upstreams) == {'2'}
 
 
-def test_older_configuration_of_another_entry_is_ignored() -> None:
+def test_update_without_configuration_is_ignored() -> None:
     world = World()
     before = world.state.configuration
     news = StoreUpdate(5, complete=True)
@@ -329,8 +333,8 @@
     assert world.state.configuration is before
 
 
-def test_older_list_of_another_entry_takes_nothing_back() -> None:
-    # It was asked for, and this entry's own watch was quicker.
+def test_outdated_list_of_a_peer_reverts_nothing() -> None:
+    # The list was requested, but this entry's own watch was faster.
     world = World((), (upstream('1'), upstream('2')))
     drained = upstream('1', draining=True, sequence=2)
     world.run(UpstreamsChanged(world.now, (drained,), (), 9))
@@ -344,10 +348,10 @@
     ).records == (drained,)
 
 
-def test_late_news_make_no_change_look_older() -> None:
+def test_delayed_update_makes_no_change_look_older() -> None:
     store_sync = StoreSync()
-    store_sync.note_changes(('1',), 9)
-    store_sync.note_changes(('1',), 4)
+    store_sync.record_changes(('1',), 9)
+    store_sync.record_changes(('1',), 4)
     catalog = Catalog({'a1': 'a'})
     catalog.change((upstream('1'),), (), 0)
     assert store_sync.upstreams_since(catalog, 6).records == (upstream('1'),)
@@ -359,34 +363,34 @@
 
 
 @given(_CHANGES, st.integers(0, 30), st.integers(0, 30))
-def test_news_since_any_revision_lead_to_the_same_upstreams(
+def test_updates_since_any_revision_lead_to_the_same_upstreams(
     changes: Sequence[tuple[int, bool]], listed_at: int, since: int
 ) -> None:
-    """Against the naive version: hand over everything each time."""
-    teller, store_sync = Catalog({'a1': 'a'}), StoreSync()
+    """Compare with the naive solution, which transfers everything each time."""
+    source, store_sync = Catalog({'a1': 'a'}), StoreSync()
     follower = Catalog({'a1': 'a'})
     since = min(since, len(changes))
     for revision, (number, present) in enumerate(changes, 1):
         name = f'u{number}'
         changed = (upstream(name, sequence=revision),) if present else ()
         removed = () if present else (name,)
-        teller.change(changed, removed, 0)
-        store_sync.note_changes((name,), revision)
+        source.change(changed, removed, 0)
+        store_sync.record_changes((name,), revision)
         if revision <= since:
             follower.change(changed, removed, 0)
         if revision == listed_at:
-            store_sync.note_list(revision)
-    news = store_sync.upstreams_since(teller, since)
+            store_sync.record_list(revision)
+    news = store_sync.upstreams_since(source, since)
     if news.complete:
         follower.replace(news.records, 0)
     else:
         follower.change(news.records, news.removed, 0)
-    assert set(follower.upstreams) == set(teller.upstreams)
-    for name, found in teller.upstreams.items():
+    assert set(follower.upstreams) == set(source.upstreams)
+    for name, found in source.upstreams.items():
         assert follower.upstreams[name].record == found.record
 
 
-def test_only_changes_of_the_duty_are_effects() -> None:
+def test_watch_effect_is_emitted_once() -> None:
     world = World(settle=1.2)
     begun = of_type(world.effects, WatchStore)
     assert begun == [WatchStore(True)]
--- a/tests/steering/world.py
+++ b/tests/steering/world.py
@@ -1,4 +1,4 @@
-"""A small world for tests of the steering decisions: one entry, no I/O."""
+"""A single entry without I/O, for tests of the steering decisions."""
 
 from collections.abc import Iterable
 from typing import Any, TypeVar
@@ -43,7 +43,7 @@
 
 
 def route(name: str = 'read', **changes: Any) -> Route:
-    """A route of one service; its prefix is its name."""
+    """Build a route of one service; its prefix is its name."""
     fields: dict[str, Any] = {
         'name': name,
         'host': HOST,
@@ -66,7 +66,7 @@
     cold_rate: float = 0,
     customers: Iterable[Customer] | None = None,
 ) -> RoutingConfiguration:
-    """A configuration of the services ``orders`` and ``stock``."""
+    """Build a configuration of the services ``orders`` and ``stock``."""
     services = [
         ServicePolicy(name, 100, 3, cold_rate) for name in ('orders', 'stock')
     ]
@@ -79,13 +79,13 @@
 
 
 def customer(name: str, *keys: str, **changes: Any) -> Customer:
-    """A customer with some keys."""
+    """Build a customer with some API keys."""
     digests = tuple(digest_of_key(key.encode()) for key in keys)
     return Customer(name, digests, **changes)
 
 
 def upstream(name: str, **changes: Any) -> UpstreamRecord:
-    """An upstream of the service ``orders`` in zone ``a1``."""
+    """Build an upstream of the service ``orders`` in zone ``a1``."""
     fields: dict[str, Any] = {
         'name': name,
         'service': 'orders',
@@ -103,7 +103,7 @@
     name: str = 'one',
     bounds: SteeringBounds | None = None,
 ) -> EntrySettings:
-    """Settings of an entry in zone ``a1``."""
+    """Build settings of an entry in zone ``a1``."""
     return EntrySettings(
         name,
         'a1',
@@ -118,7 +118,7 @@
 
 
 def simulate_outage(state: SteeringState, seconds: float, now: float) -> None:
-    """The store has just come back; an entry asked it in vain meanwhile."""
+    """Simulate a store outage that has just ended, with unanswered calls."""
     store_health = state.catalog.store_health
     store_health.record_answer(now - seconds)
     store_health.record_call(now - seconds + 0.5)
@@ -126,7 +126,7 @@
 
 
 def contact(name: str, **changes: Any) -> Contact:
-    """Another ready entry of zone ``a1``."""
+    """Build the advertised state of another ready entry of zone ``a1``."""
     fields: dict[str, Any] = {
         'who': Incarnation(name, 1),
         'zone': 'a1',
@@ -148,7 +148,7 @@
     in_flight: dict[str, int] | None = None,
     **changes: Any,
 ) -> EntryDigest:
-    """What another ready entry of zone ``a1`` tells."""
+    """Build a digest of another ready entry of zone ``a1``."""
     return EntryDigest(contact(name, **changes), number, in_flight or {}, ())
 
 
@@ -158,7 +158,7 @@
     number: int = 1,
     in_flight: dict[str, int] | None = None,
 ) -> ZoneDigest:
-    """What the speaker of a zone tells of its members."""
+    """Build a digest that the relay of a zone sends about its members."""
     named = tuple(members)
     return ZoneDigest(
         Incarnation(relay, 1), named[0].zone, number, named, in_flight or {}
@@ -184,7 +184,8 @@
         )
         self.effects: list[Effect] = []
         self.requests = 0
-        # How checks of the store end; empty: answered, None: not at all.
+        # How health checks of the store end: empty means answered, None means
+        # that they do not end.
         self.check_failure: str | None = ''
         self.run(
             ConfigurationRead(
@@ -200,7 +201,7 @@
         self.wait(settle)
 
     def run(self, *events: Any) -> list[Effect]:
-        """Reduce events; gives the effects of these."""
+        """Reduce events and return their effects."""
         fresh: list[Effect] = []
         for event in events:
             fresh.extend(reduce(self.state, event))
@@ -208,7 +209,7 @@
         return fresh
 
     def wait(self, seconds: float) -> list[Effect]:
-        """Let time pass in ticks."""
+        """Advance the clock in ticks and return the effects."""
         fresh: list[Effect] = []
         end = self.now + seconds
         while self.now < end:
@@ -221,7 +222,7 @@
         return fresh
 
     def ask(self, name: str = 'read', key: str = '', **head: Any) -> int:
-        """A request arrives; gives its number."""
+        """Let a request arrive and return its number."""
         self.requests += 1
         fields: dict[str, Any] = {
             'trace': f't{self.requests}',
@@ -244,7 +245,7 @@
         outcome: AttemptOutcome = AttemptOutcome.ANSWERED,
         **report: Any,
     ) -> list[Effect]:
-        """The attempt of a request that is under way ends."""
+        """End the current attempt of a request."""
         request = self.state.requests[number]
         fields: dict[str, Any] = {'status': 200}
         return self.run(
@@ -258,7 +259,7 @@
         )
 
     def sent(self, number: int) -> list[str]:
-        """Upstreams that a request was sent to, in order."""
+        """Return the upstreams that a request was sent to, in order."""
         return [
             effect.upstream
             for effect in of_type(self.effects, SendUpstream)
@@ -270,5 +271,5 @@
     effects: Iterable[Effect],
     wanted: type[_Wanted],
 ) -> list[_Wanted]:
-    """Effects of one type."""
+    """Return the effects of one type."""
     return [effect for effect in effects if isinstance(effect, wanted)]
--- a/worksrail/core/steering/__init__.py
+++ b/worksrail/core/steering/__init__.py
@@ -1,4 +1,4 @@
-"""Steering with discovered upstreams: routes, choice, repeats, recovery."""
+"""Steering with discovered upstreams: routing, choice, retries, recovery."""
 
 from worksrail.core.steering._catalog import (
     Catalog,
--- a/worksrail/core/steering/_catalog.py
+++ b/worksrail/core/steering/_catalog.py
@@ -1,4 +1,4 @@
-"""What is known about upstreams from discovery."""
+"""The upstreams known from discovery."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
@@ -7,17 +7,16 @@
 from worksrail.core.identity import RegionName, ServiceName, ZoneName
 from worksrail.core.steering._store_health import StoreHealth
 
-# Seconds without an answer of the store from which entries may lapse, where no
-# operators' bound is given.
-_LAPSE_TIME: Final = 1.5
+# Default number of seconds without an answer of the store after which records
+# may have expired.
+_DEFAULT_EXPIRY_TIME: Final = 1.5
 
 
 def incarnation_name(identifier: str, born: int) -> str:
-    """Name of one life of an upstream.
+    """Return the name of one incarnation of an upstream.
 
-    An upstream may start again under its identifier.  It remembers nothing
-    then, so all that is known or told of its earlier life, as load, warmth or
-    failures, must not be taken for this one's.
+    A restarted upstream keeps its identifier but loses its state, so load,
+    warmth and failures of an earlier incarnation must not be attributed to it.
 
     >>> incarnation_name('i-1', 0), incarnation_name('i-1', 17)
     ('i-1', 'i-1@17')
@@ -30,34 +29,35 @@
     """One upstream as discovery lists it."""
 
     name: str
-    """Name of this life of the upstream."""
+    """Name of this incarnation."""
 
     service: ServiceName
     """Service it belongs to."""
 
     address: str
-    """IP number and port."""
+    """IP address and port."""
 
     zone: ZoneName
     """Availability zone."""
 
     slots: int
-    """Requests it executes at once."""
+    """Number of requests it executes concurrently."""
 
     draining: bool
-    """It will end soon and takes no new requests."""
+    """Whether it is shutting down and takes no new requests."""
 
     sequence: int
-    """Grows with each report of the upstream."""
+    """Sequence number of the report; increases with each one."""
 
     cold_time: float = 0
-    """Seconds for which it stayed cold when the record was written."""
+    """Seconds for which it remained cold when the record was written."""
 
     identifier: str = ''
-    """Identifier over all its lives; empty if that is its name."""
+    """Identifier shared by all its incarnations; empty if it equals the
+    name."""
 
     born: int = 0
-    """When this life began, Unix milliseconds; zero if it does not say."""
+    """Start of this incarnation, Unix milliseconds; zero if not reported."""
 
     @property
     def discovery_id(self) -> str:
@@ -67,7 +67,7 @@
 
 @dataclass(slots=True)
 class Upstream:
-    """One upstream, with what this entry made of its records."""
+    """One upstream and the state derived from its records."""
 
     record: UpstreamRecord
     """The newest record."""
@@ -76,84 +76,89 @@
     """Region of its zone."""
 
     cold_until: float
-    """When it is warm."""
+    """When it becomes warm."""
 
     misdirected: bool = False
-    """Another upstream answered at its address."""
+    """Whether another upstream answered at its address."""
 
     @property
     def name(self) -> str:
-        """Identifier of this life of the upstream."""
+        """Name of this incarnation."""
         return self.record.name
 
 
-_Place = tuple[str, int, RegionName]
-"""What decides which keys belong to an upstream."""
+_KeyPlacement = tuple[str, int, RegionName]
+"""The attributes that decide which keys an upstream is responsible for."""
 
 
 @dataclass(slots=True)
 class Catalog:
-    """All upstreams that discovery lists, and the zones being evacuated.
+    """All upstreams that discovery lists, and the evacuated zones.
 
-    While the store is away, nothing is removed: entries may lapse only
-    because their reports did not reach it.  What is still missing some time
-    after its return is gone.
+    No upstream is removed during an outage of the store: its record may have
+    expired only because its reports could not be written. An upstream that is
+    still missing some time after the recovery is gone.
     """
 
     regions: dict[ZoneName, RegionName]
     """Region of each zone."""
 
     store_health: StoreHealth = field(
-        default_factory=lambda: StoreHealth(_LAPSE_TIME)
+        default_factory=lambda: StoreHealth(_DEFAULT_EXPIRY_TIME)
     )
-    """Whether the store has been away."""
+    """Health of the store."""
 
     upstreams: dict[str, Upstream] = field(default_factory=dict)
-    """Upstreams by the names of their lives."""
+    """Upstreams by incarnation name."""
 
     current_incarnations: dict[str, str] = field(default_factory=dict)
-    """Name of the present life by identifier."""
+    """Name of the current incarnation by identifier."""
 
     services: dict[ServiceName, list[Upstream]] = field(default_factory=dict)
-    """Usable upstreams by service; draining ones are left out."""
+    """Usable upstreams by service; draining ones are excluded."""
 
     missing: set[str] = field(default_factory=set)
-    """Names of upstreams that are listed no more and not gone yet."""
+    """Names of upstreams that are no longer listed and not yet removed."""
 
     names: dict[ServiceName, tuple[str, ...]] = field(default_factory=dict)
     """Names of the usable upstreams by service."""
 
     slots: dict[ServiceName, int] = field(default_factory=dict)
-    """Their slots together."""
+    """Total slots of the usable upstreams by service."""
 
     evacuated: frozenset[ZoneName] = frozenset()
-    """Zones whose upstreams get nothing."""
+    """Zones whose upstreams get no requests."""
 
-    places: dict[ServiceName, tuple[_Place, ...]] = field(default_factory=dict)
-    """What the present generation was made of."""
+    placements: dict[ServiceName, tuple[_KeyPlacement, ...]] = field(
+        default_factory=dict
+    )
+    """Key-relevant attributes of the upstreams in the current generation."""
 
     generation: int = 0
-    """Grows whenever the usable upstreams change."""
+    """Incremented whenever the usable upstreams change."""
 
     @classmethod
     def from_regions(
         cls,
         regions: dict[ZoneName, RegionName],
-        lapse_time: float,
+        expiry_time: float,
     ) -> 'Catalog':
-        """An empty catalog; entries may lapse after some seconds."""
-        return cls(regions, StoreHealth(lapse_time))
+        """Build an empty catalog.
+
+        Records may expire after ``expiry_time`` seconds without an answer.
+        """
+        return cls(regions, StoreHealth(expiry_time))
 
     def replace(self, records: Iterable[UpstreamRecord], now: float) -> None:
-        """Take in a complete list."""
+        """Apply a complete list."""
         listed = set()
         for record in records:
             listed.add(record.discovery_id)
-            self._take(record, now)
+            self._apply(record, now)
         for identifier in tuple(self.current_incarnations):
             if identifier not in listed:
-                self._miss(identifier, now)
-        self._index()
+                self._mark_missing(identifier, now)
+        self._rebuild_index()
 
     def change(
         self,
@@ -161,58 +166,58 @@
         removed: Iterable[str],
         now: float,
     ) -> None:
-        """Take in what has changed since the last list or change.
+        """Apply the changes since the last list or change.
 
-        What was removed is named by identifier.
+        Removed upstreams are named by identifier.
         """
         for record in records:
-            self._take(record, now)
+            self._apply(record, now)
         for identifier in removed:
-            self._miss(identifier, now)
-        self._index()
+            self._mark_missing(identifier, now)
+        self._rebuild_index()
 
     def evacuate(self, zones: frozenset[ZoneName]) -> None:
-        """Take in the zones that are to be left alone."""
+        """Set the evacuated zones."""
         if zones != self.evacuated:
             self.evacuated = zones
-            self._index()
+            self._rebuild_index()
 
     def mark_misdirected(self, name: str) -> None:
-        """Another upstream answered at the address of this one."""
+        """Exclude an upstream at whose address another one answered."""
         upstream = self.upstreams.get(name)
         if upstream and not upstream.misdirected:
             upstream.misdirected = True
-            self._index()
+            self._rebuild_index()
 
     def expire(self, now: float) -> list[str]:
-        """Remove what has been missing for too long; gives the names."""
-        if not self.missing or self.store_health.keeps_missing(now):
+        """Remove and return upstreams that have been missing for too long."""
+        if not self.missing or self.store_health.missing_may_reappear(now):
             return []
         gone = sorted(self.missing)
         for name in gone:
             self._drop(self.upstreams[name])
-        self._index()
+        self._rebuild_index()
         return gone
 
     def usable(self, service: ServiceName) -> Iterator[Upstream]:
-        """Upstreams of a service that may get requests."""
+        """Iterate over the upstreams of a service that may get requests."""
         return iter(self.services.get(service, ()))
 
-    def listed(self, identifier: str) -> Upstream | None:
-        """The present life of an upstream, if it is known."""
+    def current(self, identifier: str) -> Upstream | None:
+        """Return the current incarnation of an upstream, if it is known."""
         return self.upstreams.get(self.current_incarnations.get(identifier, ''))
 
     def region_of(self, name: str) -> RegionName:
-        """Region of an upstream; empty if it is not known."""
+        """Return the region of an upstream; empty if it is unknown."""
         upstream = self.upstreams.get(name)
         return upstream.region if upstream else ''
 
     def names_of(self, service: ServiceName) -> tuple[str, ...]:
-        """Names of the upstreams of a service that may get requests."""
+        """Return the names of a service's usable upstreams."""
         return self.names.get(service, ())
 
     def slots_of(self, service: ServiceName) -> int:
-        """Slots of these together."""
+        """Return the total slots of a service's usable upstreams."""
         return self.slots.get(service, 0)
 
     def _drop(self, upstream: Upstream) -> None:
@@ -220,17 +225,17 @@
         self.missing.discard(upstream.name)
         self.current_incarnations.pop(upstream.record.discovery_id)
 
-    def _take(self, record: UpstreamRecord, now: float) -> None:
-        known = self.listed(record.discovery_id)
+    def _apply(self, record: UpstreamRecord, now: float) -> None:
+        known = self.current(record.discovery_id)
         if known and known.name != record.name:
             if record.born < known.record.born:
-                # A late report of an earlier life.
+                # A late report of an earlier incarnation.
                 return
             self._drop(known)
             known = None
         if known and record.sequence < known.record.sequence:
-            # An older report; it only proves that the entry is listed.
-            self._find_again(known)
+            # An outdated report; it only proves that the upstream is listed.
+            self._unmark_missing(known)
             return
         cold_until = now + record.cold_time
         if known is None:
@@ -244,40 +249,44 @@
         if record.cold_time != known.record.cold_time:
             known.cold_until = cold_until
         known.record = record
-        self._find_again(known)
+        self._unmark_missing(known)
 
-    def _find_again(self, upstream: Upstream) -> None:
+    def _unmark_missing(self, upstream: Upstream) -> None:
         self.missing.discard(upstream.name)
 
-    def _miss(self, identifier: str, now: float) -> None:
-        upstream = self.listed(identifier)
+    def _mark_missing(self, identifier: str, now: float) -> None:
+        upstream = self.current(identifier)
         if upstream is None:
             return
-        if upstream.record.draining or not self.store_health.keeps_missing(now):
+        if (
+            upstream.record.draining
+            or not self.store_health.missing_may_reappear(now)
+        ):
             self._drop(upstream)
         else:
             self.missing.add(upstream.name)
 
-    def _index(self) -> None:
+    def _rebuild_index(self) -> None:
         services: dict[ServiceName, list[Upstream]] = {}
         for upstream in self.upstreams.values():
             record = upstream.record
             if record.draining or upstream.misdirected:
                 continue
             if record.zone not in self.regions:
-                # Nobody can say how far away it is, or who may use it.
+                # The distance to an unknown zone, and who may use it, are
+                # unknown.
                 continue
             if record.zone not in self.evacuated:
                 services.setdefault(record.service, []).append(upstream)
-        places = {
-            service: tuple(_place(upstream) for upstream in usable)
+        placements = {
+            service: tuple(_placement(upstream) for upstream in usable)
             for service, usable in services.items()
         }
         self.services = services
-        if places == self.places:
-            # Only reports have changed: homes of keys and the like stay.
+        if placements == self.placements:
+            # Only reports have changed: key homes and derived data stay valid.
             return
-        self.places = places
+        self.placements = placements
         self.names = {
             service: tuple(upstream.name for upstream in usable)
             for service, usable in services.items()
@@ -289,6 +298,6 @@
         self.generation += 1
 
 
-def _place(upstream: Upstream) -> _Place:
+def _placement(upstream: Upstream) -> _KeyPlacement:
     record = upstream.record
     return upstream.name, record.slots, upstream.region
--- a/worksrail/core/steering/_digests.py
+++ b/worksrail/core/steering/_digests.py
@@ -1,4 +1,4 @@
-"""What entries tell each other: of themselves, and of their zones."""
+"""The digests that entries exchange about themselves and their zones."""
 
 from typing import Final
 
@@ -19,7 +19,7 @@
 
 
 class Contact(msgspec.Struct, frozen=True, array_like=True):
-    """Who an entry is, where it is reached, and what it takes."""
+    """Identity, addresses and capacity that an entry advertises."""
 
     who: Incarnation
     """Name and incarnation."""
@@ -37,7 +37,7 @@
     """Address for requests."""
 
     ready: bool
-    """Whether it takes requests."""
+    """Whether it accepts requests."""
 
     leaving: bool
     """Whether it is stopping."""
@@ -46,114 +46,117 @@
     """Requests a second that its processor and link can pass on."""
 
     rate: float
-    """Requests a second that came to it lately."""
+    """Recent rate of arriving requests, per second."""
 
     revisions: tuple[int, ...]
-    """Revision of the store up to which it knows each kind of object, in
-    the order of :class:`StoreKind`."""
+    """Store revision up to which it knows each kind of object, in the order of
+    :class:`StoreKind`."""
 
     store_lost: bool = False
-    """Whether it reads the store and gets no answers."""
+    """Whether its reads from the store currently fail."""
 
     @property
     def name(self) -> str:
-        """Name of the entry."""
+        """Return the name of the entry."""
         return self.who.name
 
     @property
-    def takes_requests(self) -> bool:
-        """Whether callers may be sent there."""
+    def accepts_requests(self) -> bool:
+        """Return whether callers may be directed to it."""
         return self.ready and not self.leaving
 
     def revision(self, kind: StoreKind) -> int:
-        """Revision of the store up to which it knows a kind."""
+        """Return the store revision up to which it knows a kind."""
         return self.revisions[_KINDS.index(kind)]
 
 
 class KeySketch(msgspec.Struct, frozen=True, array_like=True):
-    """A sketch of the keys that callers ask for at one service."""
+    """A sketch of the keys that callers use with one service."""
 
     service: ServiceName = ''
-    """The service; a digest tells one of them in turn, or none."""
+    """The service; digests rotate through them. Empty if there is no sketch."""
 
     hashes: tuple[int, ...] = ()
     """The smallest hashes of its keys."""
 
 
 class EntryDigest(msgspec.Struct, frozen=True, array_like=True, tag='entry'):
-    """What an entry tells its own zone some times a second."""
+    """Digest that an entry sends to its own zone several times a second."""
 
     sender: Contact
-    """The entry itself."""
+    """The sending entry."""
 
     number: int
-    """Grows with each digest of the incarnation."""
+    """Sequence number of the digest within the incarnation."""
 
     in_flight: dict[str, int]
     """Its requests in flight, by upstream."""
 
     known: tuple[str, ...]
-    """Peer addresses of other entries, for those that know few."""
+    """A sample of peer addresses, from which receivers discover other
+    entries."""
 
     keys: KeySketch = KeySketch()
     """Sketch of its callers' keys."""
 
     store_age: int | None = None
-    """Tenths of a second since the store is known to have answered anybody."""
+    """Tenths of a second since the last known answer of the store to any
+    entry."""
 
     store_return: int | None = None
-    """Tenths of a second since it came back from an outage, if upstreams may
-    still return from that."""
+    """Tenths of a second since the store recovered from an outage, as long as
+    upstreams may still reappear from it."""
 
     crashes: tuple[AdvertisedCrashes, ...] = ()
     """Requests under which upstreams crashed."""
 
     limits: tuple[AdvertisedLimit, ...] = ()
-    """Limits that upstreams named."""
+    """Limits that upstreams advertised."""
 
     budgets: AdvertisedBudgets = AdvertisedBudgets()
-    """How much of the budgets of repeats is in use."""
+    """Use of the retry budgets."""
 
 
 class ZoneDigest(msgspec.Struct, frozen=True, array_like=True, tag='zone'):
-    """What the speaker of a zone tells the other zones' entries."""
+    """Digest that the relay of a zone sends to the relays of other zones."""
 
     relay: Incarnation
-    """The entry that speaks for its zone."""
+    """The relay of the zone."""
 
     zone: ZoneName
     """The zone."""
 
     number: int
-    """Grows with each digest of the speaker."""
+    """Sequence number of the digest."""
 
     members: tuple[Contact, ...]
-    """Entries of the zone that live, the speaker included."""
+    """Live entries of the zone, including the relay."""
 
     in_flight: dict[str, int]
-    """Requests of all its members in flight, by upstream."""
+    """Requests in flight of all members, by upstream."""
 
-    passed_on: bool = False
-    """It came to this zone before, and was passed on within it."""
+    forwarded: bool = False
+    """Whether it was already forwarded within the receiving zone."""
 
     keys: KeySketch = KeySketch()
-    """Sketch of the keys that callers of all its members ask for."""
+    """Sketch of the keys of all members' callers."""
 
     store_age: int | None = None
-    """Tenths of a second since the store is known to have answered anybody."""
+    """Tenths of a second since the last known answer of the store to any
+    entry."""
 
     store_return: int | None = None
-    """Tenths of a second since it came back from an outage, if upstreams may
-    still return from that."""
+    """Tenths of a second since the store recovered from an outage, as long as
+    upstreams may still reappear from it."""
 
     crashes: tuple[AdvertisedCrashes, ...] = ()
     """Requests under which upstreams crashed."""
 
     limits: tuple[AdvertisedLimit, ...] = ()
-    """Limits that upstreams named."""
+    """Limits that upstreams advertised."""
 
     budgets: AdvertisedBudgets = AdvertisedBudgets()
-    """How much of the budgets of repeats is in use."""
+    """Use of the retry budgets."""
 
 
 Digest = EntryDigest | ZoneDigest
--- a/worksrail/core/steering/_directory.py
+++ b/worksrail/core/steering/_directory.py
@@ -1,4 +1,4 @@
-"""Which entries callers shall use."""
+"""Answers look-ups: which entries callers should use."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -9,17 +9,17 @@
 from worksrail.core.steering._on_digests import own_contact
 from worksrail.core.steering.state import SteeringState
 
-# Seconds for which callers keep an answer: an entry that stops or dies is
-# out of all answers soon, at some look-ups more.
+# Seconds for which callers keep an answer. A short time removes a stopped or
+# dead entry from all answers soon, at the cost of more look-ups.
 _MAX_AGE: Final = 1.5
-_LIMIT: Final = 64
-# Callers choose among the named entries at random, so small entries are
-# named only when the large ones would be in use beyond this share of their
-# capacity; and never fewer entries than this, so that one may be lost.
-_IN_USE: Final = 0.4
-_LEAST: Final = 4
-# Entries whose capacity is within this share of another's are alike.
-_ALIKE: Final = 0.9
+_MAX_ENTRIES: Final = 64
+# Callers pick a listed entry at random, so small entries are listed only if the
+# large ones would otherwise be used beyond this share of their capacity. At
+# least a minimum number is listed, so that one may fail.
+_TARGET_UTILIZATION: Final = 0.4
+_MIN_ENTRIES: Final = 4
+# Entries have similar capacity if one has at least this share of the other's.
+_SIMILAR_CAPACITY: Final = 0.9
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,7 +27,7 @@
     """The answer to a look-up."""
 
     addresses: tuple[str, ...]
-    """Entries to use, IP number and port each; nearest first."""
+    """IP addresses and ports of the entries to use, nearest first."""
 
     max_age: float
     """Seconds for which the answer may be kept."""
@@ -39,43 +39,49 @@
     zone: ZoneName,
     now: float,
 ) -> EntryList | ResultCode:
-    """Name the entries that callers of a zone shall use.
+    """Return the entries that callers of a zone should use.
 
-    The largest ready entries of their region, as many as its requests need;
-    if there is none in the region, those of all regions.
+    These are the largest ready entries of their region, as many as its requests
+    need. If the region has none, entries of all regions are returned.
     """
     if not state.settled(now):
-        # Callers keep their last answer rather than one that names few.
+        # Callers keep their previous answer, which is better than an incomplete
+        # one.
         return ResultCode.NOT_READY
-    known = [
+    available = [
         entry.contact
         for entry in state.fleet.entries.values()
-        if entry.takes_requests(now)
+        if entry.accepts_requests(now)
     ]
     own = own_contact(state, now)
-    if own.takes_requests:
-        known.append(own)
-    near = [contact for contact in known if contact.region == region] or known
+    if own.accepts_requests:
+        available.append(own)
+    near = [
+        contact for contact in available if contact.region == region
+    ] or available
     if not near:
         return ResultCode.NOT_READY
-    named = _largest(near)
-    named.sort(key=lambda contact: (contact.zone != zone, contact.caller))
-    addresses = tuple(contact.caller for contact in named[:_LIMIT])
+    selected = _select_largest(near)
+    selected.sort(key=lambda contact: (contact.zone != zone, contact.caller))
+    addresses = tuple(contact.caller for contact in selected[:_MAX_ENTRIES])
     max_age = min(_MAX_AGE, state.settings.bounds.look_up_age)
     return EntryList(addresses, max_age)
 
 
-def _largest(contacts: list[Contact]) -> list[Contact]:
-    """The largest entries that carry the requests of all of them."""
-    needed = sum(contact.rate for contact in contacts) / _IN_USE
+def _select_largest(contacts: list[Contact]) -> list[Contact]:
+    """Return the largest entries that can carry the requests of all."""
+    needed = sum(contact.rate for contact in contacts) / _TARGET_UTILIZATION
     ordered = sorted(
         contacts, key=lambda contact: contact.capacity, reverse=True
     )
-    named: list[Contact] = []
+    selected: list[Contact] = []
     for contact in ordered:
-        enough = len(named) >= _LEAST and needed <= 0
-        if enough and contact.capacity < named[-1].capacity * _ALIKE:
+        enough = len(selected) >= _MIN_ENTRIES and needed <= 0
+        if (
+            enough
+            and contact.capacity < selected[-1].capacity * _SIMILAR_CAPACITY
+        ):
             break
         needed -= contact.capacity
-        named.append(contact)
-    return named
+        selected.append(contact)
+    return selected
--- a/worksrail/core/steering/_members.py
+++ b/worksrail/core/steering/_members.py
@@ -1,4 +1,4 @@
-"""The entries among which duties for limits are drawn."""
+"""The entries among which the owners of limits are chosen."""
 
 from worksrail.core.identity import RegionName
 from worksrail.core.limits import Members
@@ -10,16 +10,16 @@
     state: SteeringState,
     now: float,
 ) -> dict[RegionName, Members]:
-    """The entries that take requests, in each region and in all of them.
+    """Return the entries that accept requests, by region and in total.
 
-    This entry is one of them if it is ready and stays.
+    This entry is included if it is ready and not leaving.
     """
     regions = {ALL_REGIONS, *state.settings.regions.values()}
     peers: dict[RegionName, dict[str, str]] = {name: {} for name in regions}
     staying = dict.fromkeys(regions, 0)
     for name, entry in state.fleet.entries.items():
         contact = entry.contact
-        takes = entry.takes_requests(now)
+        takes = entry.accepts_requests(now)
         for region in (ALL_REGIONS, contact.region):
             staying[region] = staying.get(region, 0) + (not contact.leaving)
             if takes:
--- a/worksrail/core/steering/_on_digests.py
+++ b/worksrail/core/steering/_on_digests.py
@@ -1,4 +1,4 @@
-"""What entries tell each other, sent and received."""
+"""Sends and receives the digests that entries exchange."""
 
 from collections.abc import Iterator
 from typing import Final
@@ -13,11 +13,11 @@
     KeySketch,
     ZoneDigest,
 )
-from worksrail.core.steering._on_store_answers import hear_of_store
+from worksrail.core.steering._on_store_answers import merge_store_report
 from worksrail.core.steering._pacing import receive_named_limits
 from worksrail.core.steering._quarantining import receive_crashes
 from worksrail.core.steering.effects import (
-    MANY,
+    MAX_LOGGED_EACH,
     Decision,
     DecisionKind,
     Effect,
@@ -28,83 +28,89 @@
 
 # Seconds between two digests.
 _DIGEST_INTERVAL: Final = 0.2
-# Seconds between two digests of a zone to the others.  They cross zones and
-# regions, whose bytes are dear, and what is in flight there changes slowly.
+# Seconds between two zone digests. They cross zones and regions, where traffic
+# is expensive, and the in-flight counts of a whole zone change slowly.
 _ZONE_DIGEST_INTERVAL: Final = 0.4
-# Every so many digests, a few addresses that are silent or far are written
-# to as well, so that entries find each other.
-_DISCOVERY: Final = 5
-# Addresses of other entries that one digest carries: so many of the own zone,
-# and so many of all.
-_KNOWN_LIMIT: Final = 8
-# A digest in so many tells a sketch of keys: what regions share hardly changes.
-_KEYS_EVERY: Final = 5
-# Timers fire late, never early: a digest that is due by this share of the
-# interval is not put off to the next turn.
-_ON_THE_DOT: Final = 0.9
-# Upstreams that a digest of one entry carries, and that of a zone.
-_IN_FLIGHT_LIMIT: Final = 60
-_ZONE_IN_FLIGHT_LIMIT: Final = 600
-# Changes in what is known of requests with crashes under them, in a digest of
-# one entry and of a zone.
-_CRASHES_LIMIT: Final = 64
-_ZONE_CRASHES_LIMIT: Final = 128
-# Limits that upstreams named, the same.
-_NAMED_LIMITS_LIMIT: Final = 32
-_ZONE_NAMED_LIMITS_LIMIT: Final = 96
-# A digest in so many tells what is held although nothing has changed, besides
-# those that greet an entry.
-_HELD_EVERY: Final = 5
+# Every Nth digest also goes to a few silent or remote addresses, so that
+# entries discover each other.
+_DISCOVERY_PERIOD: Final = 5
+# Maximum number of peer addresses from the own zone in one digest, and the same
+# number from all zones.
+_MAX_ADDRESSES: Final = 8
+# Every Nth digest carries a key sketch: the keys that regions have in common
+# rarely change.
+_KEYS_PERIOD: Final = 5
+# Timers fire late, never early: a digest that is due within this share of the
+# interval is sent now instead of one tick later.
+_DUE_TOLERANCE: Final = 0.9
+# Maximum number of upstreams in an entry's digest and in a zone digest.
+_MAX_UPSTREAMS: Final = 60
+_MAX_ZONE_UPSTREAMS: Final = 600
+# Maximum number of changed crash records in an entry's digest and in a zone
+# digest.
+_MAX_CRASHES: Final = 64
+_MAX_ZONE_CRASHES: Final = 128
+# Maximum number of upstream-advertised limits, likewise.
+_MAX_LIMITS: Final = 32
+_MAX_ZONE_LIMITS: Final = 96
+# Every Nth digest repeats the quarantine and limit state even if it is
+# unchanged, in addition to the digests that answer a new entry.
+_FULL_STATE_PERIOD: Final = 5
 
 
 def on_digest(
     state: SteeringState,
     event: DigestReceived,
 ) -> Iterator[Effect]:
-    """Take in what another entry, or the speaker of a zone, tells."""
+    """Merge a digest of another entry or of another zone's relay."""
     digest = event.digest
     if isinstance(digest, EntryDigest):
-        yield from _take_entry(state, digest, event.now)
+        yield from _apply_entry_digest(state, digest, event.now)
     else:
-        yield from _take_zone(state, digest, event.now)
+        yield from _apply_zone_digest(state, digest, event.now)
 
 
-def tell(state: SteeringState, now: float) -> Iterator[SendDigest]:
-    """Tell the own zone, and the other zones if this entry speaks."""
+def send_digests(state: SteeringState, now: float) -> Iterator[SendDigest]:
+    """Send the own digest, and the zone's digest if this entry is its relay."""
     state.digests += 1
     state.next_digest_at = now + _DIGEST_INTERVAL
     fleet = state.fleet
     zone_peers = fleet.zone_peers(now)
     receivers = {contact.peer for contact in zone_peers}
-    receivers.update(state.greeted, fleet.newcomers(now, state.rng))
-    with_held = bool(state.greeted) or not state.digests % _HELD_EVERY
-    state.greeted.clear()
-    if state.digests % _DISCOVERY == 1:
-        receivers.update(fleet.distant(now, state.rng))
-    digest = _digest_of(state, now, with_held=with_held)
+    receivers.update(
+        state.pending_replies, fleet.sample_new_addresses(now, state.rng)
+    )
+    with_held = (
+        bool(state.pending_replies) or not state.digests % _FULL_STATE_PERIOD
+    )
+    state.pending_replies.clear()
+    if state.digests % _DISCOVERY_PERIOD == 1:
+        receivers.update(fleet.sample_for_discovery(now, state.rng))
+    digest = _entry_digest(state, now, with_held=with_held)
     yield SendDigest(tuple(sorted(receivers)), digest)
     own = own_contact(state, now)
     if now < state.next_zone_digest_at:
         return
-    # A fresh entry may not have met its zone yet, and would speak for itself.
+    # A new entry may not have met its zone peers yet and would send a digest
+    # that lists only itself.
     if state.ready and fleet.is_relay(own, now):
-        state.next_zone_digest_at = now + _ZONE_DIGEST_INTERVAL * _ON_THE_DOT
+        state.next_zone_digest_at = now + _ZONE_DIGEST_INTERVAL * _DUE_TOLERANCE
         relays = fleet.relays(now)
         if relays:
-            told = _zone_digest(
+            zone_digest = _zone_digest(
                 state, (own, *zone_peers), now, with_held=with_held
             )
-            yield SendDigest(tuple(relays), told)
+            yield SendDigest(tuple(relays), zone_digest)
 
 
-def tell_at_once(state: SteeringState, now: float) -> None:
-    """Let the next tick tell all others: something is new."""
+def schedule_digests(state: SteeringState, now: float) -> None:
+    """Make all digests due at the next tick, because the state has changed."""
     state.next_digest_at = now
     state.next_zone_digest_at = now
 
 
 def own_contact(state: SteeringState, now: float) -> Contact:
-    """What others shall know of this entry."""
+    """Return the state that this entry advertises about itself."""
     settings = state.settings
     return Contact(
         state.who,
@@ -121,66 +127,67 @@
     )
 
 
-def _take_entry(
+def _apply_entry_digest(
     state: SteeringState,
     digest: EntryDigest,
     now: float,
 ) -> Iterator[Effect]:
     name = digest.sender.name
-    fresh = name in state.dead or name not in state.fleet.entries
-    if not state.fleet.take(digest, now):
+    fresh = name in state.dead_entries or name not in state.fleet.entries
+    if not state.fleet.apply_digest(digest, now):
         return
-    yield from hear_of_store(state, digest, now)
+    yield from merge_store_report(state, digest, now)
     yield from receive_crashes(state, digest.crashes, now)
     yield from receive_named_limits(state, digest.limits, now)
     if digest.sender.zone == state.settings.zone:
         state.loads.update_reported(name, digest.in_flight)
         state.budgets.receive(digest.sender.who, digest.budgets, now)
-        _take_keys(state, name, digest.sender.region, digest.keys, now)
+        _apply_keys(state, name, digest.sender.region, digest.keys, now)
     if fresh:
-        state.greeted.add(digest.sender.peer)
-        yield _seen(state, digest.sender)
+        state.pending_replies.add(digest.sender.peer)
+        yield _entry_seen(state, digest.sender)
 
 
-def _take_zone(
+def _apply_zone_digest(
     state: SteeringState,
     digest: ZoneDigest,
     now: float,
 ) -> Iterator[Effect]:
-    known = set(state.fleet.entries) - state.dead
-    if not state.fleet.take_zone(digest, now):
+    known = set(state.fleet.entries) - state.dead_entries
+    if not state.fleet.apply_zone_digest(digest, now):
         return
-    yield from hear_of_store(state, digest, now)
+    yield from merge_store_report(state, digest, now)
     yield from receive_crashes(state, digest.crashes, now)
     yield from receive_named_limits(state, digest.limits, now)
-    state.loads.update_reported(_label(digest.zone), digest.in_flight)
+    state.loads.update_reported(_load_key(digest.zone), digest.in_flight)
     state.budgets.receive(digest.relay, digest.budgets, now, zone=digest.zone)
     region = state.settings.regions.get(digest.zone, '')
-    _take_keys(state, _label(digest.zone), region, digest.keys, now)
+    _apply_keys(state, _load_key(digest.zone), region, digest.keys, now)
     fresh = [one for one in digest.members if one.name not in known]
-    seen = [_seen(state, contact) for contact in fresh]
-    if len(seen) > MANY:
+    seen = [_entry_seen(state, contact) for contact in fresh]
+    if len(seen) > MAX_LOGGED_EACH:
         count = ('count', len(seen))
         yield Decision(DecisionKind.ENTRIES_SEEN, digest.zone, inputs=(count,))
     else:
         yield from seen
-    if not digest.passed_on:
-        # Whoever gets it first passes it on, speaker or not: a zone may know
-        # of a new speaker later than that one itself.
+    if not digest.forwarded:
+        # The first entry to receive a zone digest forwards it to its zone
+        # peers, even if it is not the relay: a sender may learn late that the
+        # relay of this zone has changed.
         zone_peers = [contact.peer for contact in state.fleet.zone_peers(now)]
         if zone_peers:
-            passed = msgspec.structs.replace(digest, passed_on=True)
-            yield SendDigest(tuple(sorted(zone_peers)), passed)
+            forwarded_digest = msgspec.structs.replace(digest, forwarded=True)
+            yield SendDigest(tuple(sorted(zone_peers)), forwarded_digest)
 
 
-def forget_silent_zones(state: SteeringState, now: float) -> None:
-    """Drop the loads of zones that nothing is heard of."""
-    for zone in state.fleet.silent_zones(now):
-        state.loads.forget(_label(zone))
+def forget_expired_zones(state: SteeringState, now: float) -> None:
+    """Drop the loads of zones from which no digest arrives any more."""
+    for zone in state.fleet.expire_zones(now):
+        state.loads.forget(_load_key(zone))
 
 
-def _seen(state: SteeringState, contact: Contact) -> Decision:
-    state.dead.discard(contact.name)
+def _entry_seen(state: SteeringState, contact: Contact) -> Decision:
+    state.dead_entries.discard(contact.name)
     return Decision(
         DecisionKind.ENTRY_SEEN,
         contact.name,
@@ -188,39 +195,43 @@
     )
 
 
-def _take_keys(
+def _apply_keys(
     state: SteeringState,
-    teller: str,
+    source: str,
     region: RegionName,
     keys: KeySketch,
     now: float,
 ) -> None:
     if keys.service:
         state.key_overlap.set_sketch(
-            teller, region, keys.service, keys.hashes, now
+            source, region, keys.service, keys.hashes, now
         )
 
 
-def _told_keys(
+def _key_sketch(
     state: SteeringState,
-    tellers: list[str],
+    sources: list[str],
     now: float,
 ) -> KeySketch:
-    """Sketch of the keys of this entry and of some others, now and then."""
+    """Return a sketch of the keys of this entry and some others, or none.
+
+    Only every Nth digest carries one.
+    """
     services = sorted(state.key_overlap.own)
-    turn, rest = divmod(state.digests, _KEYS_EVERY)
+    turn, rest = divmod(state.digests, _KEYS_PERIOD)
     if rest or not services:
         return KeySketch()
     service = services[turn % len(services)]
-    return KeySketch(service, state.key_overlap.sketch(service, tellers, now))
+    return KeySketch(service, state.key_overlap.sketch(service, sources, now))
 
 
-def _label(zone: str) -> str:
-    # Zones and entries tell of loads side by side; names must not meet.
+def _load_key(zone: str) -> str:
+    # Loads are stored by entry name or by zone; the prefix keeps the two kinds
+    # of key apart.
     return f'zone {zone}'
 
 
-def _digest_of(
+def _entry_digest(
     state: SteeringState,
     now: float,
     *,
@@ -228,21 +239,21 @@
 ) -> Digest:
     zone_peers = [mate.peer for mate in state.fleet.zone_peers(now)]
     alive = [entry.contact.peer for entry in state.fleet.alive(now)]
-    known = state.rng.sample(zone_peers, min(_KNOWN_LIMIT, len(zone_peers)))
-    known += state.rng.sample(alive, min(_KNOWN_LIMIT, len(alive)))
+    known = state.rng.sample(zone_peers, min(_MAX_ADDRESSES, len(zone_peers)))
+    known += state.rng.sample(alive, min(_MAX_ADDRESSES, len(alive)))
     return EntryDigest(
         own_contact(state, now),
         state.digests,
-        _busiest(state.loads.own_in_flight(), _IN_FLIGHT_LIMIT),
+        _busiest(state.loads.own_in_flight(), _MAX_UPSTREAMS),
         tuple(sorted(set(known))),
-        _told_keys(state, [], now),
+        _key_sketch(state, [], now),
         state.catalog.store_health.advertised_age(now),
         state.catalog.store_health.advertised_return(now),
         state.quarantine.advertise(
-            _CRASHES_LIMIT, now, state.rng, with_held=with_held
+            _MAX_CRASHES, now, state.rng, with_held=with_held
         ),
         state.rates.named.limits.advertise(
-            _NAMED_LIMITS_LIMIT, now, with_all=with_held
+            _MAX_LIMITS, now, with_all=with_held
         ),
         state.budgets.advertise(now),
     )
@@ -261,17 +272,15 @@
         state.settings.zone,
         state.digests,
         members,
-        _busiest(
-            state.loads.total_in_flight(zone_peers), _ZONE_IN_FLIGHT_LIMIT
-        ),
-        keys=_told_keys(state, zone_peers, now),
+        _busiest(state.loads.total_in_flight(zone_peers), _MAX_ZONE_UPSTREAMS),
+        keys=_key_sketch(state, zone_peers, now),
         store_age=state.catalog.store_health.advertised_age(now),
         store_return=state.catalog.store_health.advertised_return(now),
         crashes=state.quarantine.advertise(
-            _ZONE_CRASHES_LIMIT, now, state.rng, with_held=with_held
+            _MAX_ZONE_CRASHES, now, state.rng, with_held=with_held
         ),
         limits=state.rates.named.limits.advertise(
-            _ZONE_NAMED_LIMITS_LIMIT, now, with_all=with_held
+            _MAX_ZONE_LIMITS, now, with_all=with_held
         ),
         budgets=state.budgets.advertise_zone(now),
     )
--- a/worksrail/core/steering/_on_requests.py
+++ b/worksrail/core/steering/_on_requests.py
@@ -1,4 +1,4 @@
-"""What happens to a request: placed, repeated, refused, answered."""
+"""Life cycle of a request: placement, retries, refusal, answer."""
 
 from collections.abc import Iterator
 from typing import Final
@@ -42,11 +42,12 @@
 )
 from worksrail.core.steering.state import SteeringState
 
-# Seconds after the request to stop from which new requests are refused, as a
-# share of the grace period.
-_LAST_ARRIVALS: Final = 0.58
-# Share of the longest time allowed from which a request is a first attempt.
-_FRESH: Final = 0.99
+# Share of the grace period after the stop request from which new requests are
+# refused.
+_LAST_ARRIVAL_SHARE: Final = 0.58
+# A request counts as a first attempt if its caller leaves it at least this
+# share of the longest time seen on the route.
+_FIRST_ATTEMPT_SHARE: Final = 0.99
 _FINAL_CODES: Final = {
     AttemptOutcome.NOT_CONNECTED: ResultCode.UPSTREAM_UNREACHABLE,
     AttemptOutcome.NOT_EXECUTED: ResultCode.UPSTREAM_SHED,
@@ -65,9 +66,9 @@
 ) -> Iterator[Effect]:
     """Match a request to its route and place it, or refuse it."""
     state.arrivals.note(event.now)
-    request = _recognised(state, event)
+    request = _resolve(state, event)
     if isinstance(request, ResultCode):
-        retry_after = retry_delay(state) if _comes_back(request) else 0
+        retry_after = retry_delay(state) if _is_retryable(request) else 0
         yield Decision(
             DecisionKind.REQUEST_REFUSED,
             request.name,
@@ -77,7 +78,7 @@
         yield AnswerResult(event.request, request, retry_after)
         return
     state.budgets.record_request(request.service, event.now)
-    request.caller_retried = _has_returned(state, request)
+    request.caller_retried = _is_caller_retry(state, request)
     if request.affinity_key:
         state.key_overlap.record_key(
             request.service, request.affinity_key, event.now
@@ -90,7 +91,7 @@
     state: SteeringState,
     event: CallerGone,
 ) -> Iterator[Effect]:
-    """Cut off what may be cut off; nothing is repeated any more."""
+    """Cancel the attempt if that is safe, and stop retrying."""
     request = state.requests.get(event.request)
     if request is None:
         return
@@ -101,8 +102,8 @@
         request.number,
         (('after', round(event.now - request.arrived_at, 4)),),
     )
-    # An execution that must not be repeated is left to end: the caller may
-    # well count on it.
+    # An execution that must not be repeated is allowed to finish: the caller
+    # may rely on its side effects.
     if request.route.idempotent:
         yield CancelAttempt(request.number)
 
@@ -111,7 +112,7 @@
     state: SteeringState,
     event: AttemptEnded,
 ) -> Iterator[Effect]:
-    """Learn from an attempt, then finish the request or repeat it."""
+    """Learn from an attempt, then finish the request or retry it."""
     request = state.requests.get(event.request)
     if request is None or event.attempt != request.attempts:
         return
@@ -121,12 +122,12 @@
     request.upstream = ''
     if event.outcome is AttemptOutcome.ANSWERED:
         state.requests.pop(request.number)
-        yield _answered(request, event)
+        yield _request_answered(request, event)
         return
     if event.outcome not in NOT_EXECUTED:
         request.maybe_executed = True
-    cut = event.outcome is AttemptOutcome.CANCELLED
-    if request.caller_gone or (cut and not request.rerouting):
+    cancelled = event.outcome is AttemptOutcome.CANCELLED
+    if request.caller_gone or (cancelled and not request.rerouting):
         state.requests.pop(request.number)
         yield Decision(
             DecisionKind.REQUEST_DROPPED, event.outcome.name, request.number
@@ -153,11 +154,11 @@
     yield from learn_limit(state, request, event)
 
 
-def _recognised(
+def _resolve(
     state: SteeringState,
     event: RequestArrived,
 ) -> SteeredRequest | ResultCode:
-    """The request with its route and customer, or why it is refused."""
+    """Return the request with its route and customer, or why it is refused."""
     configuration = state.configuration
     if not isinstance(configuration, RoutingConfiguration):
         return ResultCode.NOT_READY
@@ -172,10 +173,10 @@
     regions = allowed_regions(route, customer)
     if isinstance(regions, ResultCode):
         return regions
-    return _begun(state, event, route, customer, regions)
+    return _new_request(state, event, route, customer, regions)
 
 
-def _begun(
+def _new_request(
     state: SteeringState,
     event: RequestArrived,
     route: Route,
@@ -205,11 +206,12 @@
     event: RequestArrived,
 ) -> Route | ResultCode:
     if state.exited:
-        # Connections are being closed: what still arrives was never begun.
+        # Connections are closing, so a request that still arrives was never
+        # started and is safe to refuse.
         return ResultCode.ENTRY_LEAVING
     if state.leaving:
         since = event.now - state.leaving_at
-        if since > state.settings.bounds.grace_period * _LAST_ARRIVALS:
+        if since > state.settings.bounds.grace_period * _LAST_ARRIVAL_SHARE:
             return ResultCode.ENTRY_LEAVING
     route = configuration.match(event.head.host, event.head.target)
     if isinstance(route, NoRoute):
@@ -217,15 +219,15 @@
     return route
 
 
-def _has_returned(state: SteeringState, request: SteeredRequest) -> bool:
-    # Callers give a kind of request a fixed time; one that has less of it
-    # left has spent the rest on an earlier attempt.
+def _is_caller_retry(state: SteeringState, request: SteeredRequest) -> bool:
+    # Callers use a fixed timeout for each kind of request, so a shorter one
+    # means that the rest was spent on an earlier attempt.
     left = request.head.time_left
     if left is None:
         return False
-    longest = max(left, state.longest.get(request.route.name, 0))
-    state.longest[request.route.name] = longest
-    return left < longest * _FRESH
+    max_timeout = max(left, state.max_timeouts.get(request.route.name, 0))
+    state.max_timeouts[request.route.name] = max_timeout
+    return left < max_timeout * _FIRST_ATTEMPT_SHARE
 
 
 def _finish(
@@ -236,7 +238,7 @@
 ) -> Iterator[Effect]:
     code = _FINAL_CODES[event.outcome]
     if event.outcome in NOT_EXECUTED:
-        yield _denied(state, request, denial, event.now)
+        yield _repeat_denied(state, request, denial, event.now)
         if not request.maybe_executed:
             yield from refuse(state, request, code, event.now)
             return
@@ -256,7 +258,7 @@
     yield AnswerResult(request.number, code)
 
 
-def _denied(
+def _repeat_denied(
     state: SteeringState,
     request: SteeredRequest,
     denial: str,
@@ -279,7 +281,7 @@
     )
 
 
-def _answered(request: SteeredRequest, event: AttemptEnded) -> Decision:
+def _request_answered(request: SteeredRequest, event: AttemptEnded) -> Decision:
     return Decision(
         DecisionKind.REQUEST_ANSWERED,
         request.last_upstream,
@@ -301,7 +303,7 @@
     return now - request.arrived_at > request.route.target_latency
 
 
-def _comes_back(code: ResultCode) -> bool:
+def _is_retryable(code: ResultCode) -> bool:
     return code in {
         ResultCode.NOT_READY,
         ResultCode.ENTRY_LEAVING,
--- a/worksrail/core/steering/_on_store.py
+++ b/worksrail/core/steering/_on_store.py
@@ -1,4 +1,7 @@
-"""What is read from the store: configuration, upstreams, evacuations."""
+"""Applies what was read from the store.
+
+These are the configuration, the upstreams and the evacuated zones.
+"""
 
 from collections.abc import Iterable, Iterator
 from typing import Any, Final
@@ -7,7 +10,7 @@
 from worksrail.core.steering._catalog import UpstreamRecord
 from worksrail.core.steering._routes import RoutingConfiguration
 from worksrail.core.steering.effects import (
-    MANY,
+    MAX_LOGGED_EACH,
     CancelAttempt,
     Decision,
     DecisionKind,
@@ -28,9 +31,9 @@
     state: SteeringState,
     event: ConfigurationRead,
 ) -> Iterator[Effect]:
-    """Bring a higher version into force; a lower one never."""
-    state.seen.add(StoreKind.CONFIGURATION)
-    state.store_sync.note(StoreKind.CONFIGURATION, event.revision)
+    """Apply a configuration if its version is higher than the current one."""
+    state.kinds_read.add(StoreKind.CONFIGURATION)
+    state.store_sync.record_revision(StoreKind.CONFIGURATION, event.revision)
     version = event.configuration.version
     current = state.configuration
     if isinstance(current, RoutingConfiguration):
@@ -55,36 +58,36 @@
     state: SteeringState,
     event: UpstreamsListed,
 ) -> Iterator[Effect]:
-    """Take in the complete list of upstreams."""
-    state.seen.add(StoreKind.UPSTREAMS)
-    state.store_sync.note_list(event.revision)
+    """Apply the complete list of upstreams."""
+    state.kinds_read.add(StoreKind.UPSTREAMS)
+    state.store_sync.record_list(event.revision)
     listed = {record.discovery_id for record in event.records}
     listed.update(state.catalog.current_incarnations)
-    before = _beliefs(state, listed, event.now)
+    before = _snapshot(state, listed, event.now)
     state.catalog.replace(event.records, event.now)
-    yield from _differences(state, listed, before, event.now)
+    yield from _apply_differences(state, listed, before, event.now)
 
 
 def on_changed(
     state: SteeringState,
     event: UpstreamsChanged,
 ) -> Iterator[Effect]:
-    """Take in changes of upstreams."""
+    """Apply changes of some upstreams."""
     changed = {record.discovery_id for record in event.records}
     changed.update(event.removed)
-    state.store_sync.note_changes(sorted(changed), event.revision)
-    before = _beliefs(state, changed, event.now)
+    state.store_sync.record_changes(sorted(changed), event.revision)
+    before = _snapshot(state, changed, event.now)
     state.catalog.change(event.records, event.removed, event.now)
-    yield from _differences(state, changed, before, event.now)
+    yield from _apply_differences(state, changed, before, event.now)
 
 
 def on_evacuations(
     state: SteeringState,
     event: EvacuationsRead,
 ) -> Iterator[Effect]:
-    """Take in the zones that are to be left alone."""
-    state.seen.add(StoreKind.EVACUATIONS)
-    state.store_sync.note(StoreKind.EVACUATIONS, event.revision)
+    """Apply the set of evacuated zones."""
+    state.kinds_read.add(StoreKind.EVACUATIONS)
+    state.store_sync.record_revision(StoreKind.EVACUATIONS, event.revision)
     if event.zones != state.catalog.evacuated:
         state.catalog.evacuate(event.zones)
         zones = ','.join(sorted(event.zones))
@@ -97,16 +100,16 @@
         yield Decision(DecisionKind.UPSTREAM_GONE, name)
 
 
-_Belief = tuple[UpstreamRecord, bool]
+_Snapshot = tuple[UpstreamRecord, bool]
 
 
-def _beliefs(
+def _snapshot(
     state: SteeringState,
     identifiers: Iterable[str],
     now: float,
-) -> dict[str, _Belief]:
-    """What is believed of some upstreams, by the names of their lives."""
-    listed = map(state.catalog.listed, sorted(identifiers))
+) -> dict[str, _Snapshot]:
+    """Return records and coldness of some upstreams by incarnation name."""
+    listed = map(state.catalog.current, sorted(identifiers))
     return {
         upstream.name: (upstream.record, upstream.cold_until > now)
         for upstream in listed
@@ -114,30 +117,30 @@
     }
 
 
-def _differences(
+def _apply_differences(
     state: SteeringState,
     identifiers: Iterable[str],
-    before: dict[str, _Belief],
+    before: dict[str, _Snapshot],
     now: float,
 ) -> Iterator[Effect]:
-    after = _beliefs(state, identifiers, now)
-    lost = sorted(before.keys() - after.keys())
-    gone = [Decision(DecisionKind.UPSTREAM_GONE, name) for name in lost]
-    yield from _few_or_count(gone, DecisionKind.UPSTREAMS_GONE)
-    for name in lost:
-        yield from _end_life(state, before[name][0])
+    after = _snapshot(state, identifiers, now)
+    removed = sorted(before.keys() - after.keys())
+    gone = [Decision(DecisionKind.UPSTREAM_GONE, name) for name in removed]
+    yield from _summarize(gone, DecisionKind.UPSTREAMS_GONE)
+    for name in removed:
+        yield from _abandon_incarnation(state, before[name][0])
     known: list[Decision] = []
     cold: list[Decision] = []
     for name, (record, is_cold) in after.items():
         old, was_cold = before.get(name, (None, False))
         if old is None:
-            known.append(_known(record))
+            known.append(_upstream_known(record))
         if record.draining and (old is None or not old.draining):
-            yield _draining(record)
+            yield _upstream_draining(record)
         if is_cold and not was_cold:
-            cold.append(_cold(record))
-    yield from _few_or_count(known, DecisionKind.UPSTREAMS_KNOWN)
-    yield from _few_or_count(cold, DecisionKind.UPSTREAMS_COLD)
+            cold.append(_upstream_cold(record))
+    yield from _summarize(known, DecisionKind.UPSTREAMS_KNOWN)
+    yield from _summarize(cold, DecisionKind.UPSTREAMS_COLD)
     state.loads.keep_only(state.catalog.upstreams.keys())
     state.rates.cold.forget(
         {
@@ -153,16 +156,16 @@
     return upstream is not None and upstream.cold_until > now
 
 
-def _end_life(
+def _abandon_incarnation(
     state: SteeringState,
     record: UpstreamRecord,
 ) -> Iterator[Effect]:
-    """Give up on an earlier life of an upstream that has started again.
+    """Abandon an earlier incarnation of an upstream that has restarted.
 
-    What is out there is answered no more: it ends at once, and goes elsewhere
-    if it may be repeated, instead of waiting until its deadline.
+    Its requests in flight will never be answered. They end at once and are
+    retried elsewhere if possible, instead of waiting for their deadlines.
     """
-    successor = state.catalog.listed(record.discovery_id)
+    successor = state.catalog.current(record.discovery_id)
     if successor is None:
         return
     yield Decision(
@@ -177,16 +180,16 @@
             yield CancelAttempt(request.number)
 
 
-def _few_or_count(
+def _summarize(
     decisions: list[Decision],
     many: DecisionKind,
 ) -> Iterable[Decision]:
-    if len(decisions) <= MANY:
+    if len(decisions) <= MAX_LOGGED_EACH:
         return decisions
     return (Decision(many, inputs=(('count', len(decisions)),)),)
 
 
-def _known(record: UpstreamRecord) -> Decision:
+def _upstream_known(record: UpstreamRecord) -> Decision:
     return Decision(
         DecisionKind.UPSTREAM_KNOWN,
         record.name,
@@ -198,7 +201,7 @@
     )
 
 
-def _draining(record: UpstreamRecord) -> Decision:
+def _upstream_draining(record: UpstreamRecord) -> Decision:
     return Decision(
         DecisionKind.UPSTREAM_DRAINING,
         record.name,
@@ -206,7 +209,7 @@
     )
 
 
-def _cold(record: UpstreamRecord) -> Decision:
+def _upstream_cold(record: UpstreamRecord) -> Decision:
     return Decision(
         DecisionKind.UPSTREAM_COLD,
         record.name,
@@ -220,4 +223,4 @@
     UpstreamsChanged: on_changed,
     EvacuationsRead: on_evacuations,
 }
-"""Handlers of the events that tell what was read."""
+"""Handlers of the events that deliver what was read."""
--- a/worksrail/core/steering/_on_store_answers.py
+++ b/worksrail/core/steering/_on_store_answers.py
@@ -1,4 +1,4 @@
-"""Whether the store answers this entry, and what follows from it."""
+"""Tracks whether the store answers this entry."""
 
 from collections.abc import Iterator
 from math import inf
@@ -22,31 +22,31 @@
 
 
 class StoreAges(Protocol):
-    """How long ago the store answered, as one entry tells another."""
+    """Ages of the store's answers, as one entry reports them to another."""
 
     @property
     def store_age(self) -> int | None:
-        """Tenths of a second since it answered anybody."""
+        """Tenths of a second since the store last answered any entry."""
 
     @property
     def store_return(self) -> int | None:
-        """Tenths of a second since it came back from an outage."""
+        """Tenths of a second since the store recovered from an outage."""
 
 
 def on_store_lost(
     state: SteeringState,
     event: StoreLost,
 ) -> Iterator[Effect]:
-    """Keep what is known while the store does not answer."""
-    yield from _lose(state, event.kind, event.reason, event.waited)
+    """Keep the last known state while the store does not answer."""
+    yield from _mark_failing(state, event.kind, event.reason, event.waited)
 
 
 def on_store_answered(
     state: SteeringState,
     event: StoreAnswered,
 ) -> Iterator[Effect]:
-    """Trust the store again, what is missing only after a while."""
-    yield from _hear(state, event.now)
+    """Mark reads as working again; missing upstreams expire only later."""
+    yield from _record_answer(state, event.now)
     if event.kind in state.failing_kinds:
         state.failing_kinds.discard(event.kind)
         yield Decision(DecisionKind.STORE_REGAINED, event.kind.value)
@@ -56,27 +56,27 @@
     state: SteeringState,
     event: StoreChecked,
 ) -> Iterator[Effect]:
-    """Learn whether the store answers, whatever waits for it meanwhile."""
+    """Handle the result of a health check, independently of pending calls."""
     store_health = state.catalog.store_health
     store_health.checking = False
     if not event.failure:
-        yield from _hear(state, event.now)
-        if store_health.silent:
-            store_health.silent = False
+        yield from _record_answer(state, event.now)
+        if store_health.last_check_failed:
+            store_health.last_check_failed = False
             yield RestartStoreCalls()
         return
     if not state.watching:
         return
-    store_health.silent = True
+    store_health.last_check_failed = True
     for kind in StoreKind:
-        yield from _lose(state, kind, event.failure, event.waited)
+        yield from _mark_failing(state, kind, event.failure, event.waited)
 
 
 def check_store(state: SteeringState, now: float) -> Iterator[Effect]:
-    """Check the store from time to time while this entry reads it."""
+    """Check the store periodically while this entry reads it."""
     store_health = state.catalog.store_health
     if not state.watching:
-        store_health.cease_to_ask()
+        store_health.reset_calls()
     elif now >= store_health.next_check_at and not store_health.checking:
         store_health.checking = True
         store_health.next_check_at = now + CHECK_INTERVAL
@@ -84,56 +84,65 @@
         yield CheckStore()
 
 
-def hear_of_store(
+def merge_store_report(
     state: SteeringState,
-    told: StoreAges,
+    report: StoreAges,
     now: float,
 ) -> Iterator[Effect]:
-    """Take in what another entry tells of the store's answers."""
+    """Merge another entry's report about the store's answers."""
     store_health = state.catalog.store_health
-    ended_at, returned_at = store_health.gap_ended_at, store_health.returned_at
-    store_health.hear_age(told.store_age, now)
-    store_health.hear_return(told.store_return, now)
-    yield from _explain_gap(state, ended_at, returned_at)
+    ended_at, recovered_at = (
+        store_health.gap_ended_at,
+        store_health.recovered_at,
+    )
+    store_health.merge_age(report.store_age, now)
+    store_health.merge_return(report.store_return, now)
+    yield from _log_gap(state, ended_at, recovered_at)
 
 
-def _hear(state: SteeringState, now: float) -> Iterator[Effect]:
-    """Take in an answer to this entry."""
+def _record_answer(state: SteeringState, now: float) -> Iterator[Effect]:
+    """Record that the store answered this entry."""
     store_health = state.catalog.store_health
-    ended_at, returned_at = store_health.gap_ended_at, store_health.returned_at
-    in_vain = store_health.time_in_vain(now)
+    ended_at, recovered_at = (
+        store_health.gap_ended_at,
+        store_health.recovered_at,
+    )
+    unanswered = store_health.unanswered_time(now)
     store_health.record_own_answer(now)
-    yield from _explain_gap(state, ended_at, returned_at, in_vain)
+    yield from _log_gap(state, ended_at, recovered_at, unanswered)
 
 
-def _explain_gap(
+def _log_gap(
     state: SteeringState,
     ended_at: float,
-    returned_at: float,
-    in_vain: float = 0,
+    recovered_at: float,
+    unanswered: float = 0,
 ) -> Iterator[Effect]:
-    """Say whether a gap between answers that has just ended was an outage.
+    """Log whether a gap between answers that has just ended was an outage.
 
-    The times are those of the last gap and of the last return before.
+    ``ended_at`` and ``recovered_at`` are the end of the last gap and the last
+    recovery before the update.
     """
     store_health = state.catalog.store_health
-    outage = store_health.returned_at > returned_at
-    heard_again = ended_at > -inf and store_health.gap_ended_at > ended_at
-    if not (outage or heard_again):
+    outage = store_health.recovered_at > recovered_at
+    answers_resumed = ended_at > -inf and store_health.gap_ended_at > ended_at
+    if not (outage or answers_resumed):
         return
     yield Decision(
         DecisionKind.STORE_BACK if outage else DecisionKind.STORE_UNHEARD,
         inputs=(
             (
                 'away',
-                round(store_health.gap_ended_at - store_health.gap_began_at, 3),
+                round(
+                    store_health.gap_ended_at - store_health.gap_started_at, 3
+                ),
             ),
-            ('asked', round(in_vain, 3)),
+            ('asked', round(unanswered, 3)),
         ),
     )
 
 
-def _lose(
+def _mark_failing(
     state: SteeringState,
     kind: StoreKind,
     reason: str,
@@ -154,4 +163,4 @@
     StoreAnswered: on_store_answered,
     StoreChecked: on_store_checked,
 }
-"""Handlers of the events that tell whether the store answers."""
+"""Handlers of the events that report whether the store answers."""
--- a/worksrail/core/steering/_reducer.py
+++ b/worksrail/core/steering/_reducer.py
@@ -1,7 +1,8 @@
-"""One reducer over all events of an entry with discovered upstreams.
+"""The reducer over all events of an entry with discovered upstreams.
 
-It does no I/O, reads no clock and draws no randomness but from its seeded
-state, like :mod:`worksrail.core.reducer` for upstreams named in bundles.
+It performs no I/O, reads no clock and takes randomness only from its seeded
+state. :mod:`worksrail.core.reducer` is its counterpart for upstreams that are
+defined in bundles.
 """
 
 from collections.abc import Callable, Iterator
@@ -37,8 +38,8 @@
 
 _HANDLERS: Final[dict[type, _Handler]] = {
     Ticked: _on_time.on_tick,
-    StoreUpdateFetched: _store_watch.on_fetched,
-    StoreUpdateFailed: _store_watch.on_missed,
+    StoreUpdateFetched: _store_watch.on_update_fetched,
+    StoreUpdateFailed: _store_watch.on_update_failed,
     DigestReceived: _on_digests.on_digest,
     LimitMessageReceived: _admitting.on_limit_message,
     PacingMessageReceived: _pacing.on_pacing_message,
@@ -52,7 +53,7 @@
 
 
 def reduce(state: SteeringState, event: Event) -> list[Effect]:
-    """Change the state by one event and give the effects to run."""
+    """Apply one event to the state and return the effects to perform."""
     gap = event.now - state.last_event_at
     state.last_event_at = event.now
     effects = list(_on_time.on_pause(state, gap, event.now))
--- a/worksrail/core/steering/_request.py
+++ b/worksrail/core/steering/_request.py
@@ -1,4 +1,4 @@
-"""A request under way: what is known of it, and how far it has come."""
+"""An active request and its progress."""
 
 from dataclasses import dataclass, field
 
@@ -11,46 +11,46 @@
 
 @dataclass(slots=True)
 class SteeredRequest:
-    """A request under way."""
+    """An active request."""
 
     number: RequestNumber
-    """Number of the arrival."""
+    """Number of the request."""
 
     head: SteeredHead
-    """What is known of it."""
+    """The properties that decisions depend on."""
 
     route: Route
     """Route that it matched on arrival."""
 
     service: ServiceName
-    """Part of the route that it goes to."""
+    """Service chosen from the parts of the route."""
 
     arrived_at: float
-    """When it came."""
+    """When it arrived."""
 
     deadline: float
-    """When its upstream must stop, and it gets its final answer."""
+    """When its upstream must stop and its final answer is due."""
 
     customer: Customer | NoCustomer = NoCustomer.KEY_NOT_REQUIRED
-    """Whose request it is."""
+    """Customer that sent it."""
 
     regions: frozenset[RegionName] = frozenset()
     """Regions that may serve it; empty means all."""
 
     admitted: bool = False
-    """It counts against the quota of its customer."""
+    """Whether it counts against the quota of its customer."""
 
     caller_retried: bool = False
-    """The caller seems to have come back after a refusal."""
+    """Whether the caller appears to retry after a refusal."""
 
     attempts: int = 0
-    """Attempts begun, those that found no connection included."""
+    """Attempts started, including those that failed to connect."""
 
     sends: int = 0
-    """Upstreams that it was sent to."""
+    """Number of upstreams that it was sent to."""
 
     upstream: str = ''
-    """Upstream of the attempt under way; empty between attempts."""
+    """Upstream of the current attempt; empty between attempts."""
 
     last_upstream: str = ''
     """Upstream of the attempt that ended last."""
@@ -59,45 +59,47 @@
     """Outcome of the attempt that ended last."""
 
     sent_at: float = 0
-    """When the last attempt began."""
+    """When the last attempt started."""
 
     expected_time: float = 0
-    """Seconds which that attempt was expected to take."""
+    """Expected duration of that attempt in seconds."""
 
     queue: float = 0
-    """Requests that were ahead of it there, for each slot."""
+    """Requests ahead of it at that upstream, per slot."""
 
     warm: bool = False
-    """Whether its key was expected to be warm there."""
+    """Whether its key was expected to be warm at that upstream."""
 
     tokens_requested: int = 0
-    """Tokens that it asked for."""
+    """Number of tokens requested for it."""
 
     tried: set[str] = field(default_factory=set)
-    """Upstreams that it shall not go to again."""
+    """Upstreams that it must not be sent to again."""
 
     rerouting: bool = False
-    """Its attempt was cut off here because the upstream is silent."""
+    """Whether its attempt was cancelled because the upstream is
+    unresponsive."""
 
     fingerprint: Fingerprint = 0
-    """What it has in common with its repetitions by the caller."""
+    """Value that it shares with its retries by the caller."""
 
     crash_number: int = 0
-    """Which one in a row a crash of its present attempt would be."""
+    """Position in a series of crashes if the current attempt crashed."""
 
     maybe_executed: bool = False
-    """An upstream may have executed it."""
+    """Whether an upstream may have executed it."""
 
     caller_gone: bool = False
-    """The caller has left."""
+    """Whether the caller has disconnected."""
 
     @property
     def affinity_key(self) -> str:
-        """What an upstream remembers of it; empty if that makes no difference.
+        """Return the affinity key within its route; empty if there is none.
 
-        An upstream that has executed a key on one route is cold for the same
-        key on another one, so these are kept apart: a key of two routes would
-        draw both to one upstream and leave others empty.
+        An upstream that has executed a key on one route is still cold for the
+        same key on another route, so the two are kept apart. Otherwise a key
+        that is used on two routes would draw both to one upstream and leave
+        others empty.
         """
         if not self.route.affinity or not self.head.key:
             return ''
@@ -105,7 +107,7 @@
 
     @property
     def priority(self) -> int:
-        """Its rank under shortage; a customer's goes before its route's."""
+        """Return the rank under overload; the customer's rank comes first."""
         customer = self.customer
         if isinstance(customer, Customer) and customer.priority is not None:
             return customer.priority
@@ -113,6 +115,6 @@
 
     @property
     def customer_name(self) -> str:
-        """Name of its customer; empty if it has none."""
+        """Return the name of its customer; empty if it has none."""
         customer = self.customer
         return customer.name if isinstance(customer, Customer) else ''
--- a/worksrail/core/steering/_routes.py
+++ b/worksrail/core/steering/_routes.py
@@ -1,4 +1,4 @@
-"""Routes by host and path prefix, and the services that they lead to."""
+"""Routes by host and path prefix, and the services they lead to."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 @unique
 class RouteKind(Enum):
-    """What the answers of a route allow."""
+    """How often the requests of a route may be executed."""
 
     IDEMPOTENT = 'a request may be executed more than once'
     DOWNLOAD = 'idempotent, with large answers'
@@ -37,24 +37,24 @@
     """One part of a traffic split."""
 
     service: ServiceName
-    """Where the part goes."""
+    """Service that the part goes to."""
 
     weight: float
-    """Its share is this weight over the sum of all weights."""
+    """Weight; the share is this weight over the sum of all weights."""
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """What to do with the requests of one host and path prefix."""
+    """How to treat the requests of one host and path prefix."""
 
     name: str
-    """Name that operators gave it."""
+    """Name given by the operators."""
 
     host: str
     """Host in lower case, without a port."""
 
     prefix: str
-    """Path prefix; begins and ends with a slash."""
+    """Path prefix; starts and ends with a slash."""
 
     kind: RouteKind
     """Whether requests may be repeated."""
@@ -63,38 +63,38 @@
     """Seconds after which a request gets its final answer."""
 
     target_latency: float
-    """Seconds within which an answer is worth most."""
+    """Seconds within which an answer has its full value."""
 
     priority: int
-    """Rank under shortage; zero is the most urgent."""
+    """Rank under overload; zero is the most urgent."""
 
     parts: tuple[ServiceWeight, ...]
     """The services it leads to; one, or a split."""
 
     max_attempts: int
-    """Upstreams to which one request may be sent."""
+    """Maximum number of upstreams to which a request may be sent."""
 
     affinity: bool
-    """Requests with one affinity key belong to one upstream."""
+    """Whether requests with the same affinity key go to the same upstream."""
 
     regions: frozenset[RegionName]
     """Regions that may serve it; empty means all."""
 
     public: bool = False
-    """Callers need no key."""
+    """Whether callers need no API key."""
 
     @property
     def idempotent(self) -> bool:
-        """Whether a request may be executed more than once."""
+        """Return whether a request may be executed more than once."""
         return self.kind is not RouteKind.AT_MOST_ONCE
 
 
 @dataclass(frozen=True, slots=True)
 class ServicePolicy:
-    """What the configuration says of one service."""
+    """Settings of one service in the configuration."""
 
     name: ServiceName
-    """Its name."""
+    """Name of the service."""
 
     max_connections: int
     """Connections that one upstream accepts from all instances together."""
@@ -103,24 +103,25 @@
     """Seconds for which an upstream is cold after its start."""
 
     cold_rate: float
-    """Requests a second that one cold upstream tolerates; zero: any."""
+    """Requests a second that a cold upstream tolerates; zero means any
+    number."""
 
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What one caller may send, and how long it may take."""
+    """Size and time limits on the requests of one caller."""
 
     header_bytes: int = 32_768
-    """Largest header block."""
+    """Maximum size of the header block."""
 
     body_bytes: int = 67_108_864
-    """Largest request body."""
+    """Maximum size of a request body."""
 
     header_time: float = 60
-    """Seconds in which a header block must arrive."""
+    """Seconds within which the header block must arrive."""
 
     idle_time: float = 60
-    """Seconds for which a connection may stay idle."""
+    """Seconds for which a connection may remain idle."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -128,7 +129,7 @@
     """One version of all routes and services; never changed in place."""
 
     version: int
-    """Higher versions replace lower ones."""
+    """Version number; higher versions replace lower ones."""
 
     routes: dict[str, dict[str, Route]]
     """Routes by host, then by prefix."""
@@ -140,7 +141,7 @@
     """Limits on callers."""
 
     customers: CustomerTable | None = None
-    """Who may call; None means anybody, without a key."""
+    """Customers who may call; None allows all callers without a key."""
 
     @classmethod
     def from_routes(
@@ -159,11 +160,11 @@
         return cls(version, by_host, by_name, limits, customers)
 
     def match(self, host: str, target: str) -> Route | NoRoute:
-        """Find the route with the longest prefix of a request target.
+        """Find the route with the longest matching prefix of a request target.
 
-        The query is no part of the path.  Prefixes end with a slash, so only
-        the path's own slashes can end one: the search is as long as the path
-        is deep, however many routes there are.
+        The query is not part of the path. Prefixes end with a slash, so only
+        the slashes of the path are candidates: the search takes as many steps
+        as the path is deep, regardless of the number of routes.
         """
         by_prefix = self.routes.get(host.partition(':')[0].lower())
         if by_prefix is None:
--- a/worksrail/core/steering/_settings.py
+++ b/worksrail/core/steering/_settings.py
@@ -1,4 +1,4 @@
-"""Settings of an entry that finds its upstreams by discovery."""
+"""Settings of an entry that discovers its upstreams."""
 
 from dataclasses import dataclass, field
 from typing import Final
@@ -7,57 +7,59 @@
 from worksrail.core.identity import RegionName, ZoneName
 from worksrail.core.limits import QuotaBounds
 
-# Requests a second that one core passes on, and what one of them takes of a
-# link; rough figures of days on the users' platform, used to compare
-# instances with each other.
+# Requests a second that one core can pass on, and the bandwidth that one of
+# them uses. Rough figures from days on the users' platform; they serve to
+# compare instances with each other.
 _REQUESTS_PER_CORE: Final = 300
 _MEGABITS_PER_REQUEST: Final = 0.1
-SETTLING: Final = 0.5
-"""Seconds for which a fresh entry may not have heard of all others: it serves,
-but takes no part of what all share and names no entries to callers."""
+DISCOVERY_TIME: Final = 0.5
+"""Seconds during which a new entry may not have discovered all others: it
+serves requests, but takes no share of limits and budgets that all entries
+share, and lists no entries to callers."""
 
 
 @dataclass(frozen=True, slots=True)
 class SteeringBounds:
-    """Bounds that the operators set; times in seconds."""
+    """Bounds set by the operators; times are in seconds."""
 
     repeat_ratio: float = 0.2
-    """Repeats allowed for each request of a service."""
+    """Retries allowed per request of a service."""
 
     repeat_window: float = 10
-    """Sliding window over which repeats are counted."""
+    """Sliding window over which retries are counted."""
 
     repeat_extra: float = 0
-    """Repeats allowed besides, over all instances and each window."""
+    """Additional retries allowed per window, over all instances."""
 
     look_up_age: float = 5
-    """Longest age of a look-up answer that callers honour."""
+    """Maximum age of a look-up answer that callers accept."""
 
     heartbeat: float = 1.5
-    """Time between two reports of an upstream to the store; its entry lapses
-    after three of them, so a shorter outage cannot make it lapse."""
+    """Interval between two reports of an upstream to the store. Its record
+    expires after three of them, so a shorter outage cannot make it expire."""
 
     grace_period: float = 6
-    """Time from the request to stop until the process is killed."""
+    """Time from the stop request until the process is killed."""
 
     region_shift: float = 1
-    """Share of a region's requests that may change region at once."""
+    """Maximum share of a region's requests that may move to another region at
+    once."""
 
     cold_factor: float = 1
-    """What a cold upstream may get, as a multiple of its rate."""
+    """Request rate allowed for a cold upstream, as a multiple of its rate."""
 
     cold_extra: float = 1
-    """Requests that a cold upstream may get in a second besides."""
+    """Additional requests a second allowed for a cold upstream."""
 
     store_history: float = 30
-    """Seconds for which the store keeps what has changed, as a rule."""
+    """Seconds for which the store usually keeps its change history."""
 
     quota: QuotaBounds = field(default_factory=QuotaBounds)
-    """How closely quotas are to be kept."""
+    """Accuracy with which quotas are enforced."""
 
     @property
     def repeats(self) -> BudgetBounds:
-        """What all instances together may repeat for a service."""
+        """Return the retry bounds of a service over all instances."""
         return BudgetBounds(
             self.repeat_ratio, self.repeat_window, self.repeat_extra
         )
@@ -65,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryAddresses:
-    """Where an entry listens; IP number and port each."""
+    """IP addresses and ports on which an entry listens."""
 
     caller: str
     """Requests."""
@@ -74,26 +76,26 @@
     """Readiness checks."""
 
     look_up: str
-    """Look-ups: which entries to use."""
+    """Look-ups of the entries to use."""
 
     peer: str
-    """Messages of other entries."""
+    """Messages from other entries."""
 
 
 @dataclass(frozen=True, slots=True)
 class EntryLimits:
-    """What the instance has, as far as it bounds what it can carry."""
+    """Resources of the instance that limit its capacity."""
 
     cores: float = 1
-    """Processor time a second, in seconds of a core."""
+    """Number of cores available."""
 
     link_mbps: float = 1000
-    """Bandwidth of its link, Mbit/s."""
+    """Bandwidth of its link in Mbit/s."""
 
 
 @dataclass(frozen=True, slots=True)
 class EntrySettings:
-    """Everything an entry learns from its settings."""
+    """All settings of an entry."""
 
     name: str
     """Unique name of this entry."""
@@ -108,34 +110,38 @@
     """Region of each zone."""
 
     addresses: EntryAddresses
-    """Where it listens."""
+    """Addresses it listens on."""
 
     seeds: tuple[str, ...]
-    """Peer addresses of entries to ask first; may be out of date."""
+    """Peer addresses of entries to contact first; may be out of date."""
 
     store: str
     """Address of the object store."""
 
     bounds: SteeringBounds = field(default_factory=SteeringBounds)
-    """Operators' bounds."""
+    """Bounds set by the operators."""
 
     limits: EntryLimits = field(default_factory=EntryLimits)
-    """What the instance has."""
+    """Resources of the instance."""
 
     fingerprint_secret: str = ''
-    """Key of the fingerprints of requests, the same at all entries."""
+    """Secret for the fingerprints of requests, the same at all entries."""
 
     first_start: bool = False
-    """The whole system starts for the first time: nobody was there before."""
+    """Whether the whole system starts for the first time, without earlier
+    instances."""
 
     @property
     def fingerprint_key(self) -> bytes:
-        """The secret, or the zones: entries may reach the store differently."""
+        """Return the fingerprint secret or, by default, the zones.
+
+        The store's address is not used, since entries may reach it differently.
+        """
         zones = ','.join(sorted(self.regions))
         return (self.fingerprint_secret or zones).encode()
 
     @property
     def capacity(self) -> float:
-        """Requests a second that the processor and the link can pass on."""
+        """Return the requests a second that processor and link can pass on."""
         by_cores = self.limits.cores * _REQUESTS_PER_CORE
         return min(by_cores, self.limits.link_mbps / _MEGABITS_PER_REQUEST)
--- a/worksrail/core/steering/_store_health.py
+++ b/worksrail/core/steering/_store_health.py
@@ -1,164 +1,181 @@
-"""Whether the store answers, as all entries together know it.
-
-A watch that waits says nothing of the store: it may be quiet, silent, or have
-forgotten the watch.  So entries that read the store ask it something small
-twice a second, and digests tell how long ago it answered anybody.  What
-upstreams' entries may have lapsed for is an outage: a gap between two answers
-to the whole fleet, in which somebody asked in vain.  A gap alone is none.  An
-entry that hears of no reader knows of no answers either, and the store may
-have answered all the while.
+"""Health of the store as the whole fleet observes it.
+
+A pending watch says nothing about the store, which may have no changes, be
+unreachable, or have lost the watch. Entries that read the store therefore also
+send it a small request twice a second, and digests carry the time since it last
+answered any entry. An outage, in which records of upstreams may have expired,
+is a gap between two answers to the whole fleet during which at least one call
+got no answer. A gap alone is no outage: an entry that receives no digests of
+watchers does not learn of answers either, while the store may have answered all
+along.
 """
 
 from dataclasses import dataclass
 from math import ceil, inf
 from typing import Final
 
-# Seconds between the beginnings of two checks of the store; one that takes
-# longer is followed by the next at once.  Two in a row fit into the time
-# between two reports of an upstream (1.5 s), so that one that is lost makes no
-# outage.  Each costs a tenth of a call.  What they gain: in the two seconds
-# after a store silent for 8.3 s, whose entries lapsed, 0.99 of the credit is
-# earned, and 0.39 without (twelve entries, 44 upstreams, one day each).
+# Seconds between the starts of two checks of the store; a slower check is
+# followed by the next at once. Two in a row fit into the interval between two
+# reports of an upstream (1.5 s), so that one lost check is no outage. Each
+# costs a tenth of a call. In the two seconds after an outage of 8.3 s in which
+# records expired, 0.99 of the possible credit is earned with the checks and
+# 0.39 without (twelve entries, 44 upstreams, one day each).
 CHECK_INTERVAL: Final = 0.5
-# Entries that lapsed while the store was away return within two seconds of
-# its own return, say the operators; the rest is for the answer's way.
-_RETURN_TIME: Final = 2.1
-# Seconds from the first known answer after a gap to the first one to an entry
-# that asked in vain: a check of 0.7 s may have to end first.  Whoever asks in
-# vain for longer, while others are answered, is cut off itself.
-_WITNESS_DELAY: Final = 0.8
-# Ages are told in tenths of a second.
-_TENTHS: Final = 10
+# Records that expired during an outage reappear within two seconds of its end,
+# according to the operators; the rest is for the latency of the answer.
+_REAPPEARANCE_WINDOW: Final = 2.1
+# Maximum number of seconds from the first known answer after a gap to the first
+# answer to an entry whose calls got none: a check of 0.7 s may have to end
+# first. An entry that gets no answer for longer while others do is cut off
+# itself.
+_MAX_WITNESS_DELAY: Final = 0.8
+# Ages are sent in tenths of a second.
+_TENTHS_PER_SECOND: Final = 10
 
 
 @dataclass(slots=True)
 class StoreHealth:
-    """When the store answered last, and when it came back from an outage.
+    """The last known answer of the store, and its last outage.
 
-    >>> store_health = StoreHealth(lapse_time=1.5)
-    >>> store_health.record_own_answer(10)
-    >>> store_health.record_call(10.5)
-    >>> store_health.record_own_answer(19)
-    >>> store_health.returned_at
+    >>> health = StoreHealth(expiry_time=1.5)
+    >>> health.record_own_answer(10)
+    >>> health.record_call(10.5)
+    >>> health.record_own_answer(19)
+    >>> health.recovered_at
     19
     """
 
-    lapse_time: float
-    """Seconds without any answer from which upstreams' entries may lapse."""
+    expiry_time: float
+    """Seconds without any answer after which records of upstreams may have
+    expired."""
 
     answered_at: float = -inf
-    """When the store answered any entry last, as far as is known here."""
+    """When the store last answered any entry, as far as this one knows."""
 
-    gap_began_at: float = -inf
-    """Last answer before the last long gap between known answers."""
+    gap_started_at: float = -inf
+    """Last answer before the latest long gap between known answers."""
 
     gap_ended_at: float = -inf
-    """First answer after it; the first one of all, if there was no gap."""
+    """First answer after that gap; the first answer ever, if there was no
+    gap."""
 
-    returned_at: float = -inf
-    """When it came back last after entries may have lapsed."""
+    recovered_at: float = -inf
+    """When the store last recovered from an outage that may have expired
+    records."""
 
-    asked_at: float | None = None
-    """Beginning of the first check of this entry since it was answered last;
-    None if there was none."""
+    waiting_since: float | None = None
+    """Start of this entry's first check since it last got an answer; None if
+    there was none."""
 
     checking: bool = False
-    """A check of this entry is under way."""
+    """Whether a check of this entry is in progress."""
 
     next_check_at: float = -inf
-    """When the next one is due."""
+    """When the next check is due."""
 
-    silent: bool = False
-    """The last check of this entry failed."""
+    last_check_failed: bool = False
+    """Whether the last check of this entry failed."""
 
     def record_call(self, now: float) -> None:
-        """The store is being asked by this entry."""
-        if self.asked_at is None:
-            self.asked_at = now
+        """Record that this entry calls the store."""
+        if self.waiting_since is None:
+            self.waiting_since = now
 
-    def cease_to_ask(self) -> None:
-        """The store is read no more; what was asked says nothing of it."""
-        self.silent = False
-        self.asked_at = None
+    def reset_calls(self) -> None:
+        """Discard pending calls when this entry stops reading the store."""
+        self.last_check_failed = False
+        self.waiting_since = None
 
     def handle_pause(self, now: float) -> None:
-        """The process stood still, and could not be answered meanwhile."""
-        if self.asked_at is not None:
-            self.asked_at = now
+        """Restart the wait: no answer could arrive during a suspension."""
+        if self.waiting_since is not None:
+            self.waiting_since = now
 
     def record_own_answer(self, now: float) -> None:
-        """The store has answered this entry."""
-        asked_in_vain = self.time_in_vain(now)
+        """Record that the store answered this entry."""
+        unanswered = self.unanswered_time(now)
         self.record_answer(now)
-        self.asked_at = None
-        # The first check after the last answer may begin this much later.
-        if asked_in_vain >= self.lapse_time - CHECK_INTERVAL:
+        self.waiting_since = None
+        # The first check may start this much later than the last answer.
+        if unanswered >= self.expiry_time - CHECK_INTERVAL:
             self._confirm_outage(now)
 
     def record_answer(self, at: float) -> None:
-        """The store has answered an entry."""
+        """Record that the store answered any entry."""
         if at <= self.answered_at:
             return
-        if at - self.answered_at >= self.lapse_time:
-            self.gap_began_at = self.answered_at
+        if at - self.answered_at >= self.expiry_time:
+            self.gap_started_at = self.answered_at
             self.gap_ended_at = at
         self.answered_at = at
 
-    def time_in_vain(self, now: float) -> float:
-        """Seconds for which this entry has asked, and nobody was answered."""
-        if self.asked_at is None:
+    def unanswered_time(self, now: float) -> float:
+        """Return the seconds for which the calls of this entry got no answer.
+
+        Answers to other entries end that time.
+        """
+        if self.waiting_since is None:
             return 0
-        return now - max(self.asked_at, self.answered_at)
+        return now - max(self.waiting_since, self.answered_at)
 
-    def keeps_missing(self, now: float) -> bool:
-        """Whether upstreams that are not listed may still return.
+    def missing_may_reappear(self, now: float) -> bool:
+        """Return whether upstreams that are not listed may still reappear.
 
-        Nothing is known of an outage by an entry that has heard nothing yet.
+        An entry that has received no answer and no report yet knows of no
+        outage.
         """
         known = self.answered_at > -inf
-        unheard = known and now - self.answered_at >= self.lapse_time
-        return unheard or now < self.returned_at + _RETURN_TIME
+        no_recent_answer = known and now - self.answered_at >= self.expiry_time
+        return (
+            no_recent_answer or now < self.recovered_at + _REAPPEARANCE_WINDOW
+        )
 
     def age(self, now: float) -> float | None:
-        """Seconds since the last answer; None if there was none."""
+        """Return the seconds since the last answer; None if there was none."""
         return now - self.answered_at if self.answered_at > -inf else None
 
     def advertised_age(self, now: float) -> int | None:
-        """Tenths of a second since the last answer, for others.
+        """Return the age of the last answer in tenths of a second, for digests.
 
-        It is rounded up by a tenth at least, more than the way of a datagram:
-        else each entry would take the last answer for a little younger than the
-        one that told it, and what goes round among them would never grow old.
+        It is rounded up by at least a tenth, which is more than the latency of
+        a datagram. Otherwise each entry would take the last answer to be
+        slightly younger than its sender did, and an age that circulates would
+        never grow.
         """
         age = self.age(now)
-        return None if age is None else ceil(age * _TENTHS) + 1
+        return None if age is None else ceil(age * _TENTHS_PER_SECOND) + 1
 
     def advertised_return(self, now: float) -> int | None:
-        """Tenths of a second since an outage ended, for others.
+        """Return the time since the last outage in tenths of a second.
 
-        None unless upstreams may still return from it.  It is rounded down, so
-        that nobody drops them sooner; no entry takes the return for younger
-        than the first answer after it that it knows of.
+        For digests; None once upstreams can no longer reappear from it. It is
+        rounded down, so that no entry drops them too soon; a receiver never
+        takes the recovery to be later than the first answer after the gap that
+        it knows of.
         """
-        age = now - self.returned_at
-        return int(age * _TENTHS) if age < _RETURN_TIME else None
-
-    def hear_age(self, tenths: int | None, now: float) -> None:
-        """Another entry has told how long ago the store answered."""
+        age = now - self.recovered_at
+        return (
+            int(age * _TENTHS_PER_SECOND)
+            if age < _REAPPEARANCE_WINDOW
+            else None
+        )
+
+    def merge_age(self, tenths: int | None, now: float) -> None:
+        """Merge another entry's age of the last answer."""
         if tenths is not None:
-            self.record_answer(now - tenths / _TENTHS)
+            self.record_answer(now - tenths / _TENTHS_PER_SECOND)
 
-    def hear_return(self, tenths: int | None, now: float) -> None:
-        """Another entry has told how long ago an outage ended."""
+    def merge_return(self, tenths: int | None, now: float) -> None:
+        """Merge another entry's time since the last outage."""
         if tenths is not None:
-            self._confirm_outage(now - tenths / _TENTHS)
+            self._confirm_outage(now - tenths / _TENTHS_PER_SECOND)
 
     def _confirm_outage(self, ended_at: float) -> None:
-        """Somebody asked the store in vain until then.
+        """Record that calls to the store got no answer until ``ended_at``.
 
-        Whoever knows of answers in that time knows better.
+        Answers that are known from that time take precedence.
         """
-        latest = self.gap_ended_at + _WITNESS_DELAY
-        if self.gap_began_at < ended_at <= latest:
+        latest = self.gap_ended_at + _MAX_WITNESS_DELAY
+        if self.gap_started_at < ended_at <= latest:
             ended_at = min(ended_at, self.gap_ended_at)
-            self.returned_at = max(self.returned_at, ended_at)
+            self.recovered_at = max(self.recovered_at, ended_at)
--- a/worksrail/core/steering/_store_watch.py
+++ b/worksrail/core/steering/_store_watch.py
@@ -1,10 +1,12 @@
-"""Who reads the store, and who learns from other entries instead.
-
-Two entries of each region watch the store.  Digests say how far each entry
-knows it; one that is behind asks another entry for what it lacks.  So calls
-to the store grow with the regions, and an entry that the store turns away
-still learns of every change.  A fresh entry cannot know yet who else reads:
-it lists the store once, cheaply, and reads on only if that is its duty.
+"""Decides which entries read the store; the others sync from their peers.
+
+Two entries of each region watch the store. Digests carry the store revisions
+that each entry knows, and an entry that is behind fetches the difference from
+another one. The number of store calls therefore grows with the regions, not
+with the entries, and an entry that the store rejects still receives every
+change. A new entry cannot know yet which others read the store: it lists
+everything once, which is cheap, and continues to read only if it is one of the
+watchers.
 """
 
 from collections.abc import Iterator
@@ -12,8 +14,8 @@
 
 from worksrail.core.steering import _on_store
 from worksrail.core.steering._digests import Contact
-from worksrail.core.steering._on_digests import own_contact, tell_at_once
-from worksrail.core.steering._on_store_answers import hear_of_store
+from worksrail.core.steering._on_digests import own_contact, schedule_digests
+from worksrail.core.steering._on_store_answers import merge_store_report
 from worksrail.core.steering._routes import RoutingConfiguration
 from worksrail.core.steering._store_sync import StoreUpdate
 from worksrail.core.steering.effects import (
@@ -35,68 +37,71 @@
 from worksrail.core.steering.kinds import StoreKind
 from worksrail.core.steering.state import SteeringState
 
-# Entries of each region that watch the store: when one dies or is cut off, the
-# other one still tells the region, and other regions tell it as well.
-_WATCHERS: Final = 2
-# Seconds after which a fresh entry has heard enough of its region to take up
-# the duty.
-_UNDECIDED: Final = 1.0
-# Seconds after which it watches in any case if it lacks anything.
-_PATIENCE: Final = 2.0
-# Seconds for which an entry that watches, and is answered, may be behind others
-# before it asks them: usually its own watch tells it sooner.
-_WATCHER_LAG: Final = 0.4
-
-
-def keep_up(state: SteeringState, now: float) -> Iterator[Effect]:
-    """Watch the store if it is this entry's duty; catch up with others."""
-    if _shall_list(state, now):
-        state.listed = True
+# Entries of each region that watch the store. If one of them dies or is cut
+# off, the other one still keeps the region up to date, and so do other regions.
+_WATCHERS_PER_REGION: Final = 2
+# Seconds after which a new entry has received enough digests of its region to
+# decide whether it is a watcher.
+_DECISION_DELAY: Final = 1.0
+# Seconds after which an entry watches in any case if it lacks a kind.
+_FORCED_WATCH_DELAY: Final = 2.0
+# Seconds for which a watcher that the store answers may be behind other entries
+# before it fetches from them: its own watch usually delivers the change sooner.
+_MAX_WATCHER_LAG: Final = 0.4
+
+
+def sync_with_store(state: SteeringState, now: float) -> Iterator[Effect]:
+    """Watch the store if this entry is a watcher, and catch up with peers."""
+    if _should_list(state, now):
+        state.has_listed = True
         yield ListStore()
-    watching = _shall_watch(state, now)
+    watching = _should_watch(state, now)
     if watching != state.watching:
         state.watching = watching
         if not watching:
-            # Others tell from now on; what the store does is their matter.
+            # The watchers report from now on; failures of this entry's own
+            # reads no longer matter.
             state.failing_kinds.clear()
         yield Decision(DecisionKind.WATCH, 'begun' if watching else 'ended')
         yield WatchStore(watching)
-    others = _tellers(state, now)
+    sources = _sync_sources(state, now)
     for kind in StoreKind:
-        yield from _catch_up(state, kind, others, now)
-    told = (
+        yield from _catch_up(state, kind, sources, now)
+    advertised = (
         tuple(state.store_sync.revisions.values()),
         bool(state.failing_kinds),
     )
-    if told != state.told:
-        # Others wait for news, or have to read in this one's place.
-        state.told = told
-        tell_at_once(state, now)
+    if advertised != state.advertised_store_state:
+        # Other entries wait for the new revisions, or have to take over as
+        # watchers.
+        state.advertised_store_state = advertised
+        schedule_digests(state, now)
 
 
-def on_fetched(
+def on_update_fetched(
     state: SteeringState, event: StoreUpdateFetched
 ) -> Iterator[Effect]:
-    """Take in what another entry told of the store."""
+    """Apply a store update that was fetched from another entry."""
     state.fetching.discard(event.kind)
     news = event.news
     if news.revision <= state.store_sync.revisions[event.kind]:
-        # Meanwhile more has become known here than was told.
+        # This entry has learned of a later revision in the meantime.
         return
-    # Whether it has been away decides what removals mean.
-    yield from hear_of_store(state, news, event.now)
+    # Recent outages are merged first, since they decide how removals are
+    # treated.
+    yield from merge_store_report(state, news, event.now)
     yield Decision(
         DecisionKind.NEWS_FETCHED,
         event.kind.value,
         inputs=(('from', event.peer), ('revision', news.revision)),
     )
-    yield from _apply(state, event.kind, news, event.now)
+    yield from _apply_update(state, event.kind, news, event.now)
 
 
-def on_missed(
+def on_update_failed(
     state: SteeringState, event: StoreUpdateFailed
 ) -> Iterator[Effect]:
-    """Another entry did not tell; the next attempt may ask another one."""
+    """Record a failed fetch; the next one may go to another entry."""
     state.fetching.discard(event.kind)
     yield Decision(
         DecisionKind.NEWS_MISSED,
@@ -111,7 +116,7 @@
     since: int,
     now: float,
 ) -> StoreUpdate:
-    """What this entry knows of a kind beyond a revision."""
+    """Return what this entry knows of a kind beyond a revision."""
     store_sync = state.store_sync
     revision = store_sync.revisions[kind]
     if kind is StoreKind.UPSTREAMS:
@@ -134,58 +139,60 @@
     return StoreUpdate(0)
 
 
-def _shall_list(state: SteeringState, now: float) -> bool:
-    if state.listed or state.leaving:
+def _should_list(state: SteeringState, now: float) -> bool:
+    if state.has_listed or state.leaving:
         return False
     return not all(state.store_sync.revisions.values())
 
 
-def _shall_watch(state: SteeringState, now: float) -> bool:
+def _should_watch(state: SteeringState, now: float) -> bool:
     if state.leaving:
         return state.watching
     age = now - state.started_at
-    if age < _UNDECIDED:
+    if age < _DECISION_DELAY:
         return False
-    if age > _PATIENCE and not all(state.store_sync.revisions.values()):
+    if age > _FORCED_WATCH_DELAY and not all(
+        state.store_sync.revisions.values()
+    ):
         return True
     own = own_contact(state, now)
-    return own in state.fleet.store_readers(own, _WATCHERS, now)
+    return own in state.fleet.store_readers(own, _WATCHERS_PER_REGION, now)
 
 
 def _catch_up(
     state: SteeringState,
     kind: StoreKind,
-    others: list[Contact],
+    sources: list[Contact],
     now: float,
 ) -> Iterator[Effect]:
     known = state.store_sync.revisions[kind]
-    ahead = [other for other in others if other.revision(kind) > known]
+    ahead = [entry for entry in sources if entry.revision(kind) > known]
     if not ahead:
         state.behind_since.pop(kind, None)
         return
-    behind = now - state.behind_since.setdefault(kind, now)
+    lag = now - state.behind_since.setdefault(kind, now)
     answered = state.watching and not state.failing_kinds
-    patience = _WATCHER_LAG if answered else 0
-    if behind >= patience and kind not in state.fetching:
+    max_lag = _MAX_WATCHER_LAG if answered else 0
+    if lag >= max_lag and kind not in state.fetching:
         state.fetching.add(kind)
         zone = state.settings.zone
-        near = [other for other in ahead if other.zone == zone]
+        near = [entry for entry in ahead if entry.zone == zone]
         source = state.rng.choice(near or ahead)
         yield FetchStoreUpdate(kind, source.peer, known)
 
 
-def _tellers(state: SteeringState, now: float) -> list[Contact]:
-    """The entries that this one may ask.
+def _sync_sources(state: SteeringState, now: float) -> list[Contact]:
+    """Return the entries from which this one may fetch.
 
-    Only the speaker asks other zones, for all of its own.
+    Only the relay fetches from other zones, on behalf of its own.
     """
     zone_peers = state.fleet.zone_peers(now)
     if state.fleet.is_relay(own_contact(state, now), now):
-        return zone_peers + state.fleet.far(now)
+        return zone_peers + state.fleet.remote_entries(now)
     return zone_peers
 
 
-def _apply(
+def _apply_update(
     state: SteeringState,
     kind: StoreKind,
     news: StoreUpdate,
--- a/worksrail/core/steering/_unresponsive.py
+++ b/worksrail/core/steering/_unresponsive.py
@@ -1,4 +1,4 @@
-"""Moves requests away from upstreams that owe answers for too long."""
+"""Reroutes requests away from unresponsive upstreams."""
 
 from collections.abc import Iterator
 
@@ -14,22 +14,22 @@
 from worksrail.core.steering.state import SteeringState
 
 
-def move_from_silent(state: SteeringState, now: float) -> Iterator[Effect]:
-    """Cut off what silent upstreams owe, where it may be sent once more.
+def reroute_unresponsive(state: SteeringState, now: float) -> Iterator[Effect]:
+    """Cancel attempts at unresponsive upstreams if they may be retried.
 
-    Nothing is cut off that could not go elsewhere: a request that must not
-    be repeated waits on, and so does one whose attempts are used up.
+    Requests that must not be repeated, or whose attempts are used up, continue
+    to wait.
     """
-    silent: set[str] = set()
+    unresponsive: set[str] = set()
     for request in state.requests.values():
-        if not request.upstream or not _may_move(request, now):
+        if not request.upstream or not _may_reroute(request, now):
             continue
-        if not _is_silent(state, request, now):
+        if not _is_unresponsive(state, request, now):
             continue
         load = state.loads.of(request.upstream)
         request.rerouting = True
-        if request.upstream not in silent:
-            silent.add(request.upstream)
+        if request.upstream not in unresponsive:
+            unresponsive.add(request.upstream)
             yield Decision(
                 DecisionKind.UPSTREAM_SILENT,
                 request.upstream,
@@ -41,24 +41,24 @@
         yield CancelAttempt(request.number)
 
 
-def _is_silent(
+def _is_unresponsive(
     state: SteeringState,
     request: SteeredRequest,
     now: float,
 ) -> bool:
     upstream = state.catalog.upstreams.get(request.upstream)
     slots = upstream.record.slots if upstream else 1
-    usual = state.typical_time(request.service, request.expected_time).typical
+    typical = state.typical_time(request.service, request.expected_time).typical
     load = state.loads.of(request.upstream)
-    return load.is_silent(usual, slots, now)
+    return load.is_silent(typical, slots, now)
 
 
-def _may_move(request: SteeredRequest, now: float) -> bool:
+def _may_reroute(request: SteeredRequest, now: float) -> bool:
     if request.rerouting or request.caller_gone or not request.route.idempotent:
         return False
     if request.sends >= request.route.max_attempts:
         return False
-    # Downloads may be on their way for long.
+    # Downloads may legitimately take long.
     if request.route.kind is RouteKind.DOWNLOAD:
         return False
     return now - request.sent_at > SILENCE_FACTOR * request.expected_time
--- a/worksrail/core/steering/_zone_reachability.py
+++ b/worksrail/core/steering/_zone_reachability.py
@@ -1,62 +1,65 @@
-"""Zones none of whose upstreams can be reached."""
+"""Detection of zones whose upstreams cannot be reached."""
 
 from dataclasses import dataclass, field
 from typing import Final
 
 from worksrail.core.identity import ZoneName
 
-# Different upstreams of a zone that in turn cannot be reached, none of the
-# zone having answered in between, after which the zone is left alone.  Three
-# lost packets in a row are rare, and one upstream that is gone is no zone.
-_UNREACHED: Final = 3
-# Seconds for which it is left alone, doubled each time up to the longest.
-_FIRST_PAUSE: Final = 1.0
-_LONGEST_PAUSE: Final = 4.0
+# Number of different upstreams of a zone that must be unreachable, with no
+# answer from the zone in between, before the zone is excluded. Three lost
+# packets in a row are rare, and a single unreachable upstream says nothing
+# about its zone.
+_MIN_UNREACHABLE: Final = 3
+# Seconds for which the zone is excluded, doubled each time up to the maximum.
+_INITIAL_EXCLUSION: Final = 1.0
+_MAX_EXCLUSION: Final = 4.0
 
 
 @dataclass(slots=True)
 class ZoneFailures:
-    """What attempts have told of one zone."""
+    """Connection failures of one zone."""
 
-    unreached: set[str] = field(default_factory=set)
+    unreachable: set[str] = field(default_factory=set)
     """Upstreams that could not be reached since the last answer."""
 
-    pause: float = _FIRST_PAUSE
-    """Seconds for which the zone is left alone the next time."""
+    exclusion_time: float = _INITIAL_EXCLUSION
+    """Seconds for which the zone will be excluded the next time."""
 
-    out_until: float = 0
-    """Until when it is left alone."""
+    excluded_until: float = 0
+    """When the current exclusion ends."""
 
 
 @dataclass(slots=True)
 class ZoneReachability:
-    """Leaves a zone alone that lost its power or is cut off.
+    """Excludes zones that have lost power or are cut off.
 
-    Without this, each of its upstreams has to be found out by itself, and
-    every attempt costs a request the time that a connection may take.
+    Otherwise each upstream of such a zone would have to be detected separately,
+    and every attempt would delay a request by the connect timeout.
     """
 
     zones: dict[ZoneName, ZoneFailures] = field(default_factory=dict)
     """Zones in which an upstream could not be reached."""
 
     def is_excluded(self, zone: ZoneName, now: float) -> bool:
-        """Whether a zone is left alone."""
-        reachability = self.zones.get(zone)
-        return reachability is not None and reachability.out_until > now
+        """Return whether a zone is excluded."""
+        failures = self.zones.get(zone)
+        return failures is not None and failures.excluded_until > now
 
     def record_unreachable(self, zone: ZoneName, name: str, now: float) -> bool:
-        """An upstream was not reached; true if its zone is left alone now."""
-        reachability = self.zones.setdefault(zone, ZoneFailures())
-        reachability.unreached.add(name)
+        """Record an unreachable upstream; true if its zone is now excluded."""
+        failures = self.zones.setdefault(zone, ZoneFailures())
+        failures.unreachable.add(name)
         if (
-            len(reachability.unreached) < _UNREACHED
-            or reachability.out_until > now
+            len(failures.unreachable) < _MIN_UNREACHABLE
+            or failures.excluded_until > now
         ):
             return False
-        reachability.out_until = now + reachability.pause
-        reachability.pause = min(_LONGEST_PAUSE, reachability.pause * 2)
+        failures.excluded_until = now + failures.exclusion_time
+        failures.exclusion_time = min(
+            _MAX_EXCLUSION, failures.exclusion_time * 2
+        )
         return True
 
     def record_reachable(self, zone: ZoneName) -> None:
-        """An upstream of a zone has answered."""
+        """Record that an upstream of a zone answered."""
         self.zones.pop(zone, None)
