--- a/worksrail/core/steering/effects.py
+++ b/worksrail/core/steering/effects.py
@@ -1,4 +1,4 @@
-"""Everything an entry with discovered upstreams does to the outside."""
+"""Effects that an entry with discovered upstreams performs."""
 
 from dataclasses import dataclass
 from enum import Enum, unique
@@ -18,25 +18,25 @@
     """Send a request to an upstream."""
 
     request: RequestNumber
-    """Which request."""
+    """Number of the request."""
 
     attempt: int
     """Number of the attempt, from one."""
 
     upstream: str
-    """Identifier that the upstream must have to execute it."""
+    """Identifier that the upstream must have to execute the request."""
 
     address: str
-    """Its IP number and port."""
+    """Its IP address and port."""
 
     deadline: float
-    """Until when the upstream may work on it, by this entry's clock."""
+    """Time until which the upstream may work on it, by this entry's clock."""
 
     give_up_at: float
-    """When this entry stops to wait for the answer."""
+    """When this entry stops waiting for the response."""
 
     customer: CustomerName = ''
-    """Whose request it is, for the upstream to know; empty if nobody's."""
+    """Customer to report to the upstream; empty if there is none."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,67 +44,67 @@
     """Answer a request with a result code."""
 
     request: RequestNumber
-    """Which request."""
+    """Number of the request."""
 
     code: ResultCode
-    """What to tell."""
+    """The result code."""
 
     retry_after: float = 0
-    """Seconds after which a retry makes sense."""
+    """Seconds after which a retry is useful."""
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Cut off the attempt that is under way."""
+    """Cancel the attempt in progress."""
 
     request: RequestNumber
-    """Which request."""
+    """Number of the request."""
 
 
 @dataclass(frozen=True, slots=True)
 class SendDigest:
-    """Tell other entries something; each datagram may be lost."""
+    """Send a digest to other entries; each datagram may be lost."""
 
     receivers: tuple[str, ...]
-    """Peer addresses."""
+    """Their peer addresses."""
 
     digest: Digest
-    """What to tell."""
+    """The digest."""
 
 
 @dataclass(frozen=True, slots=True)
 class SendLimitMessage:
-    """Tell another entry of a shared limit; the datagram may be lost."""
+    """Send a message about a shared limit; the datagram may be lost."""
 
     receiver: str
-    """Its peer address."""
+    """Peer address of the receiver."""
 
     message: LimitMessage
-    """What to tell."""
+    """The message."""
 
 
 @dataclass(frozen=True, slots=True)
 class SendPacingMessage:
-    """Ask another entry for tokens, or grant them; it may be lost."""
+    """Request tokens from another entry or grant them; may be lost."""
 
     receiver: str
-    """Its peer address."""
+    """Peer address of the receiver."""
 
     message: PacingMessage
-    """What to tell."""
+    """The message."""
 
 
 @dataclass(frozen=True, slots=True)
 class DropConnections:
-    """Close idle connections: whoever accepted them has ended."""
+    """Close idle connections to a process that has ended."""
 
     address: str
-    """Where they lead; IP number and port."""
+    """Remote IP address and port."""
 
 
 @dataclass(frozen=True, slots=True)
 class WatchStore:
-    """Begin or cease to read the store."""
+    """Start or stop reading the store."""
 
     active: bool
     """Whether to read it."""
@@ -112,31 +112,32 @@
 
 @dataclass(frozen=True, slots=True)
 class ListStore:
-    """Read everything in the store once; it may be some seconds old."""
+    """Read everything in the store once; may return data some seconds old."""
 
 
 @dataclass(frozen=True, slots=True)
 class CheckStore:
-    """Ask the store something small, and report whether it answers."""
+    """Send the store a small request and report whether it answers."""
 
 
 @dataclass(frozen=True, slots=True)
 class RestartStoreCalls:
-    """Give up calls to the store that wait, and make them again.
+    """Abandon the pending calls to the store and repeat them.
 
-    What was asked of a store that has been silent since may never be answered.
+    The store may never answer calls that were made before it became
+    unresponsive.
     """
 
 
 @dataclass(frozen=True, slots=True)
 class FetchStoreUpdate:
-    """Ask another entry what is new in the store."""
+    """Fetch a store update from another entry."""
 
     kind: StoreKind
-    """What to ask for."""
+    """Kind to fetch."""
 
     peer: str
-    """Its peer address."""
+    """Peer address of the other entry."""
 
     since: int
     """Revision up to which the kind is known here."""
@@ -144,7 +145,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExitProcess:
-    """The graceful stop is complete."""
+    """Exit, since the graceful stop is complete."""
 
 
 @unique
@@ -152,56 +153,59 @@
     """The fixed vocabulary of decisions in logs, metrics and time lines."""
 
     REQUEST_SENT = 'request sent to an upstream'
-    REQUEST_REPEATED = 'request sent to one more upstream'
-    TOKEN_AWAITED = 'request waits for a token of an upstream with a limit'
-    REPEAT_DENIED = 'request not sent once more'
+    REQUEST_REPEATED = 'request repeated at another upstream'
+    TOKEN_AWAITED = 'request waiting for a token of a limited upstream'
+    REPEAT_DENIED = 'request not repeated'
     REQUEST_REFUSED = 'request refused; it was not executed'
     REQUEST_ANSWERED = 'answer of an upstream passed on'
     REQUEST_FAILED = 'request ended without an answer of an upstream'
     REQUEST_DROPPED = 'request ended after its caller had left'
     CALLER_GONE = 'caller left before the end of its answer'
     CRASH_SUSPECTED = 'an upstream may have crashed under a request'
-    QUARANTINED = 'request held: upstreams crashed under it'
-    QUARANTINE_TRIED = 'held request sent once more'
+    QUARANTINED = 'request quarantined: upstreams crashed under it'
+    QUARANTINE_TRIED = 'quarantined request tried again'
     QUARANTINE_CLEARED = 'request answered after crashes under it'
     CONFIGURATION_APPLIED = 'configuration in force'
     CONFIGURATION_IGNORED = 'older configuration ignored'
     UPSTREAM_KNOWN = 'upstream listed'
     UPSTREAMS_KNOWN = 'many upstreams listed at once'
-    UPSTREAM_DRAINING = 'upstream drains'
+    UPSTREAM_DRAINING = 'upstream draining'
     UPSTREAM_GONE = 'upstream gone'
     UPSTREAMS_GONE = 'many upstreams gone at once'
-    UPSTREAM_RESTARTED = 'upstream started again under its identifier'
+    UPSTREAM_RESTARTED = 'upstream restarted under its identifier'
     UPSTREAM_COLD = 'upstream cold'
     UPSTREAMS_COLD = 'many upstreams cold at once'
-    UPSTREAM_EJECTED = 'upstream left alone for its failures'
-    UPSTREAM_LIMITED = 'upstream names a limit, or another one'
-    UPSTREAM_UNLIMITED = 'upstream names its limit no more'
-    UPSTREAM_LIMIT_UNREADABLE = 'upstream names a limit that is no number'
-    UPSTREAM_SILENT = 'upstream owes answers for too long'
-    ZONE_UNREACHED = 'zone left alone: its upstreams cannot be reached'
+    UPSTREAM_EJECTED = 'upstream ejected after failures'
+    UPSTREAM_LIMITED = 'upstream advertised a new limit'
+    UPSTREAM_UNLIMITED = 'upstream stopped advertising its limit'
+    UPSTREAM_LIMIT_UNREADABLE = (
+        'upstream advertised a limit that is not a number'
+    )
+    UPSTREAM_SILENT = 'upstream unresponsive'
+    ZONE_UNREACHED = 'zone excluded: its upstreams cannot be reached'
     UPSTREAM_MISDIRECTED = 'address belongs to another upstream'
-    ZONES_EVACUATED = 'zones to be evacuated'
-    STORE_LOST = 'store lost'
-    STORE_REGAINED = 'store regained'
-    STORE_BACK = 'store back after entries of upstreams may have lapsed'
-    STORE_UNHEARD = 'no answer of the store was heard of; nobody asked in vain'
-    WATCH = 'reading the store begun or ended'
-    NEWS_FETCHED = 'news of the store from another entry'
-    NEWS_MISSED = 'no news of the store from another entry'
+    ZONES_EVACUATED = 'set of evacuated zones changed'
+    STORE_LOST = 'reads from the store fail'
+    STORE_REGAINED = 'reads from the store work again'
+    STORE_BACK = 'store recovered from an outage that may have expired records'
+    STORE_UNHEARD = 'gap in known answers of the store, but no call failed'
+    WATCH = 'started or stopped reading the store'
+    NEWS_FETCHED = 'store update fetched from another entry'
+    NEWS_MISSED = 'fetching a store update from another entry failed'
     ENTRY_SEEN = 'other entry seen'
     ENTRIES_SEEN = 'many other entries seen at once'
     ENTRY_LOST = 'other entry lost'
     READY = 'ready for requests'
     LEAVING = 'stopping'
     STOPPED = 'stopped'
-    PAUSED = 'process stood still'
+    PAUSED = 'process was suspended'
 
 
-# Decisions of one kind at once from which one line says how many there are
-# instead: an entry that starts among 195 others with 451 upstreams wrote 5,284
-# lines of them in 24 s, and the limit on lines a second dropped most.
-MANY: Final = 20
+# Maximum number of decisions of one kind that are logged one by one; more are
+# replaced by a line with their number. An entry that started among 195 others
+# with 451 upstreams logged 5,284 such lines in 24 s, and the limit on lines a
+# second dropped most of them.
+MAX_LOGGED_EACH: Final = 20
 
 
 @dataclass(frozen=True, slots=True)
@@ -209,16 +213,16 @@
     """Log a decision and count it."""
 
     kind: DecisionKind
-    """What was decided or believed."""
+    """What was decided or observed."""
 
     subject: str = ''
-    """Upstream, entry, service, version or result it is about."""
+    """The upstream, entry, service, version or result concerned."""
 
     request: RequestNumber = 0
-    """Request it touches, if any."""
+    """Number of the request concerned, if any."""
 
     inputs: tuple[tuple[str, float | int | str], ...] = ()
-    """What decided it, with ages in seconds or versions."""
+    """Inputs of the decision; ages are in seconds."""
 
 
 Effect = (
--- a/worksrail/core/steering/events.py
+++ b/worksrail/core/steering/events.py
@@ -1,4 +1,4 @@
-"""Everything that can happen to an entry with discovered upstreams.
+"""Events that change the state of an entry with discovered upstreams.
 
 Each event carries ``now``: seconds on the entry's monotonic clock.
 """
@@ -21,39 +21,39 @@
 
 @unique
 class AttemptOutcome(Enum):
-    """How sending a request to an upstream ended."""
+    """How an attempt to send a request to an upstream ended."""
 
-    ANSWERED = 'the whole answer was passed on'
-    NOT_CONNECTED = 'there was no connection; no byte left'
-    NOT_EXECUTED = 'the upstream said that it did not execute it'
-    OTHER_UPSTREAM = 'another upstream has the address; not executed'
+    ANSWERED = 'the complete answer was passed on'
+    NOT_CONNECTED = 'connecting failed; nothing was sent'
+    NOT_EXECUTED = 'the upstream reported that it did not execute it'
+    OTHER_UPSTREAM = 'another upstream answered at the address; not executed'
     BROKE_BEFORE_ANSWER = 'the connection broke before an answer'
-    BROKE_IN_ANSWER = 'the connection broke within the answer'
-    SPOILED = 'what came was no answer to the request'
-    TIMED_OUT = 'the deadline passed after sending'
-    CANCELLED = 'it was cut off from here'
+    BROKE_IN_ANSWER = 'the connection broke during the answer'
+    SPOILED = 'the response was not a valid answer to the request'
+    TIMED_OUT = 'the deadline expired after sending'
+    CANCELLED = 'this entry cancelled it'
 
 
 @dataclass(frozen=True, slots=True)
 class ReportedLoad:
-    """Load that an upstream reported with an answer."""
+    """Load that an upstream reported with a response."""
 
     executing: int
-    """Requests that it executes."""
+    """Requests being executed."""
 
     waiting: int
-    """Requests that wait for a slot."""
+    """Requests waiting for a slot."""
 
     slots: int
-    """Requests that it executes at once."""
+    """Requests it executes concurrently."""
 
 
 @dataclass(frozen=True, slots=True)
 class SteeredHead:
-    """What the decisions need to know of a request."""
+    """The properties of a request that decisions depend on."""
 
     trace: str
-    """Identifier that the caller gave it."""
+    """Identifier given by the caller."""
 
     host: str
     """Host header."""
@@ -65,18 +65,18 @@
     """Path with query."""
 
     time_left: float | None
-    """Seconds that the caller waits; None if it did not say."""
+    """Seconds until the caller's timeout; None if it was not given."""
 
     key: str
     """Affinity key; empty if there is none."""
 
     key_digest: KeyDigest = ''
-    """Digest of the caller's API key; empty if none came."""
+    """Digest of the caller's API key; empty if none was sent."""
 
 
 @dataclass(frozen=True, slots=True)
 class Ticked:
-    """Time has passed."""
+    """A periodic timer tick."""
 
     now: float
     """Monotonic time in seconds."""
@@ -90,10 +90,10 @@
     """Monotonic time in seconds."""
 
     configuration: RoutingConfiguration
-    """The version."""
+    """The version that was read."""
 
     revision: int = 0
-    """Revision of the store up to which the kind is known with it."""
+    """Store revision up to which the kind is known after this read."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -107,7 +107,7 @@
     """All upstreams."""
 
     revision: int = 0
-    """Revision of the store up to which the kind is known with it."""
+    """Store revision up to which the kind is known after this read."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -121,63 +121,63 @@
     """New records, in order."""
 
     removed: tuple[str, ...]
-    """Identifiers of upstreams that are listed no more."""
+    """Identifiers of upstreams that are no longer listed."""
 
     revision: int = 0
-    """Revision of the store up to which the kind is known with it."""
+    """Store revision up to which the kind is known after this read."""
 
 
 @dataclass(frozen=True, slots=True)
 class EvacuationsRead:
-    """The zones to be evacuated were read."""
+    """The set of evacuated zones was read."""
 
     now: float
     """Monotonic time in seconds."""
 
     zones: frozenset[ZoneName]
-    """All of them."""
+    """All evacuated zones."""
 
     revision: int = 0
-    """Revision of the store up to which the kind is known with it."""
+    """Store revision up to which the kind is known after this read."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoreLost:
-    """The store does not answer."""
+    """A call to the store failed."""
 
     now: float
     """Monotonic time in seconds."""
 
     kind: StoreKind
-    """What was asked for."""
+    """Kind that was requested."""
 
     reason: str
-    """How it failed."""
+    """Why it failed."""
 
     waited: float = 0
-    """Seconds for which the call had waited."""
+    """Seconds that the call had waited."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoreAnswered:
-    """The store has answered a call of this entry."""
+    """The store answered a call of this entry."""
 
     now: float
     """Monotonic time in seconds."""
 
     kind: StoreKind
-    """What was asked for."""
+    """Kind that was requested."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoreChecked:
-    """A check of the store has ended."""
+    """A health check of the store ended."""
 
     now: float
     """Monotonic time in seconds."""
 
     failure: str = ''
-    """How it failed; empty if the store has answered."""
+    """Why it failed; empty if the store answered."""
 
     waited: float = 0
     """Seconds that it took."""
@@ -185,126 +185,126 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreUpdateFetched:
-    """Another entry told what is new in the store."""
+    """A store update was fetched from another entry."""
 
     now: float
     """Monotonic time in seconds."""
 
     kind: StoreKind
-    """What it told of."""
+    """Kind of the update."""
 
     peer: str
-    """Peer address of that entry."""
+    """Peer address of the other entry."""
 
     news: StoreUpdate
-    """What it told."""
+    """The update."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoreUpdateFailed:
-    """Another entry did not tell what is new in the store."""
+    """Fetching a store update from another entry failed."""
 
     now: float
     """Monotonic time in seconds."""
 
     kind: StoreKind
-    """What it was asked for."""
+    """Kind that was requested."""
 
     peer: str
-    """Peer address of that entry."""
+    """Peer address of the other entry."""
 
 
 @dataclass(frozen=True, slots=True)
 class DigestReceived:
-    """Another entry told of itself."""
+    """A digest arrived from another entry."""
 
     now: float
     """Monotonic time in seconds."""
 
     digest: Digest
-    """What it told."""
+    """The digest."""
 
 
 @dataclass(frozen=True, slots=True)
 class LimitMessageReceived:
-    """Another entry told of a limit that all entries share."""
+    """A message about a shared limit arrived from another entry."""
 
     now: float
     """Monotonic time in seconds."""
 
     message: LimitMessage
-    """What it told."""
+    """The message."""
 
 
 @dataclass(frozen=True, slots=True)
 class PacingMessageReceived:
-    """Another entry asks for tokens of an upstream, or grants some."""
+    """A request for upstream tokens, or a grant of some, arrived."""
 
     now: float
     """Monotonic time in seconds."""
 
     message: PacingMessage
-    """What it told."""
+    """The message."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A request came from a caller."""
+    """A request arrived from a caller."""
 
     now: float
     """Monotonic time in seconds."""
 
     request: RequestNumber
-    """Number of the arrival, unique in this process."""
+    """Number of the request, unique in this process."""
 
     head: SteeredHead
-    """What the decisions need to know of it."""
+    """The properties that decisions depend on."""
 
     body_digest: bytes = b''
-    """Hash of its body, or of what is known of a long one."""
+    """Hash of its body, or of the part that is known of a long one."""
 
 
 @dataclass(frozen=True, slots=True)
 class CallerGone:
-    """The caller broke off before its answer was complete."""
+    """The caller disconnected before its answer was complete."""
 
     now: float
     """Monotonic time in seconds."""
 
     request: RequestNumber
-    """Which request."""
+    """Number of the request."""
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """Sending a request to an upstream ended."""
+    """An attempt to send a request to an upstream ended."""
 
     now: float
     """Monotonic time in seconds."""
 
     request: RequestNumber
-    """Which request."""
+    """Number of the request."""
 
     attempt: int
-    """Which of its attempts."""
+    """Number of the attempt."""
 
     outcome: AttemptOutcome
     """How it ended."""
 
     status: int = 0
-    """Status of the answer, if there was one."""
+    """Status code of the response, if there was one."""
 
     load: ReportedLoad | None = None
-    """Load that the upstream reported, if it did."""
+    """Load that the upstream reported, if any."""
 
     connect_time: float = 0
-    """Seconds that a new connection took; zero if one was kept."""
+    """Seconds to open a new connection; zero if an open one was reused."""
 
     replayable: bool = True
-    """The body of the request is still held in full."""
+    """Whether the complete request body is still buffered."""
 
     limit: NamedLimit | None = None
-    """What its answer says of a limit; None if no answer came."""
+    """Limit advertised by the response; None if no response came."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/worksrail/core/steering/kinds.py
+++ b/worksrail/core/steering/kinds.py
@@ -1,11 +1,11 @@
-"""The kinds of objects that entries follow in the store."""
+"""The kinds of objects that entries read from the store."""
 
 from enum import Enum, unique
 
 
 @unique
 class StoreKind(Enum):
-    """What an entry follows in the store."""
+    """A kind of object in the store."""
 
     CONFIGURATION = 'configuration'
     UPSTREAMS = 'upstreams'
--- a/worksrail/core/steering/state.py
+++ b/worksrail/core/steering/state.py
@@ -1,4 +1,4 @@
-"""The whole state of an entry with discovered upstreams, by its owners."""
+"""The complete state of an entry with discovered upstreams."""
 
 import random
 from dataclasses import dataclass, field
@@ -18,7 +18,7 @@
 from worksrail.core.steering._region_shares import RegionShares
 from worksrail.core.steering._request import SteeredRequest
 from worksrail.core.steering._routes import NotConfigured, RoutingConfiguration
-from worksrail.core.steering._settings import SETTLING, EntrySettings
+from worksrail.core.steering._settings import DISCOVERY_TIME, EntrySettings
 from worksrail.core.steering._splits import Splits
 from worksrail.core.steering._store_sync import StoreSync
 from worksrail.core.steering._warm_keys import WarmKeys
@@ -29,10 +29,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotUsage:
-    """How much of a service's slots is in use."""
+    """Utilization of a service's slots."""
 
     used: float
-    """Requests in flight over slots."""
+    """Requests in flight divided by slots."""
 
     measured_at: float
     """When they were counted."""
@@ -40,16 +40,16 @@
 
 @dataclass(slots=True)
 class SteeringState:
-    """What :func:`worksrail.core.steering.reduce` works on."""
+    """The state that :func:`worksrail.core.steering.reduce` works on."""
 
     settings: EntrySettings
-    """Settings; replaced when they are read again."""
+    """Settings; replaced when they are reloaded."""
 
     who: Incarnation
     """Name and incarnation of this entry."""
 
     rng: random.Random
-    """Source of spread; seeded, so that runs repeat."""
+    """Source of randomness; seeded, so that runs are reproducible."""
 
     catalog: Catalog
     """Upstreams and evacuated zones."""
@@ -58,22 +58,22 @@
     """The other entries."""
 
     region_shares: RegionShares
-    """Where keys of the own region are at home."""
+    """Distribution of the own region's keys over the regions."""
 
     limits: SharedLimits
-    """Limits that all entries share."""
+    """Limits shared by all entries."""
 
     rates: UpstreamRateLimits
-    """Limits on what single upstreams get."""
+    """Rate limits of single upstreams."""
 
     budgets: SharedBudgets
-    """Budgets of repeats that all entries share."""
+    """Retry budgets shared by all entries."""
 
     started_at: float
-    """When this incarnation began."""
+    """When this incarnation started."""
 
     last_event_at: float
-    """When the last event came; a long gap means a pause."""
+    """When the last event occurred; a long gap means a suspension."""
 
     configuration: RoutingConfiguration | NotConfigured = (
         NotConfigured.NEVER_READ
@@ -81,95 +81,95 @@
     """The configuration in force."""
 
     loads: LoadTable = field(default_factory=LoadTable)
-    """Load, speed and faults of upstreams."""
+    """Load, speed and failures of upstreams."""
 
     reachability: ZoneReachability = field(default_factory=ZoneReachability)
     """Zones that cannot be reached."""
 
     key_overlap: KeyOverlap = field(default_factory=KeyOverlap)
-    """Which keys regions have in common."""
+    """Overlap of the keys that regions use."""
 
     affinity: Affinity = field(default_factory=Affinity)
     """Order of upstreams by key."""
 
     warm_keys: WarmKeys = field(default_factory=WarmKeys)
-    """Where keys are warm, and what that saves."""
+    """Where keys are warm, and how much time that saves."""
 
     splits: Splits = field(default_factory=Splits)
     """Traffic splits."""
 
-    usual: dict[ServiceName, LatencyEwma] = field(default_factory=dict)
-    """Seconds that an execution takes at a service, over all routes."""
+    typical_times: dict[ServiceName, LatencyEwma] = field(default_factory=dict)
+    """Typical execution time of a service in seconds, over all routes."""
 
-    longest: dict[str, float] = field(default_factory=dict)
-    """Longest time that callers allowed, by route name."""
+    max_timeouts: dict[str, float] = field(default_factory=dict)
+    """Longest time that a caller allowed, by route name."""
 
     region_rtts: dict[RegionName, LatencyEwma] = field(default_factory=dict)
-    """Seconds to a region and back."""
+    """Round-trip time to a region in seconds."""
 
     quarantine: Quarantine = field(default_factory=Quarantine)
     """Requests that crash upstreams."""
 
     requests: dict[RequestNumber, SteeredRequest] = field(default_factory=dict)
-    """Requests under way."""
+    """Active requests."""
 
     store_sync: StoreSync = field(default_factory=StoreSync)
-    """How far the store is known."""
+    """Store revisions that this entry knows."""
 
     watching: bool = False
-    """This entry reads the store itself."""
+    """Whether this entry reads the store itself."""
 
-    listed: bool = False
-    """This entry has read everything once, to begin with."""
+    has_listed: bool = False
+    """Whether this entry has made its initial read of the store."""
 
     fetching: set[StoreKind] = field(default_factory=set)
-    """Kinds that another entry is being asked for."""
+    """Kinds that are being fetched from another entry."""
 
     behind_since: dict[StoreKind, float] = field(default_factory=dict)
-    """Since when another entry knows more of a kind."""
+    """Since when another entry has known a later revision of a kind."""
 
-    told: tuple[tuple[int, ...], bool] = ((), False)
-    """What the last digest told of the store: revisions by kind, and whether
-    it was lost."""
+    advertised_store_state: tuple[tuple[int, ...], bool] = ((), False)
+    """Store state in the last digest: revisions by kind, and whether reads
+    failed."""
 
     failing_kinds: set[StoreKind] = field(default_factory=set)
-    """Kinds whose reading from the store fails."""
+    """Kinds that currently cannot be read from the store."""
 
-    seen: set[StoreKind] = field(default_factory=set)
+    kinds_read: set[StoreKind] = field(default_factory=set)
     """Kinds that were read at least once."""
 
-    dead: set[str] = field(default_factory=set)
-    """Names of entries that are known but silent."""
+    dead_entries: set[str] = field(default_factory=set)
+    """Names of known entries that are dead."""
 
     ready: bool = False
-    """Takes requests."""
+    """Whether this entry accepts requests."""
 
     leaving_at: float = inf
     """When the stop was requested."""
 
     exited: bool = False
-    """The stop is complete."""
+    """Whether the stop is complete."""
 
     slot_usage: dict[ServiceName, SlotUsage] = field(default_factory=dict)
-    """Use of slots by service."""
+    """Utilization of slots by service."""
 
     arrivals: RateMeter = field(default_factory=RateMeter)
-    """Requests that come to this entry."""
+    """Rate of requests that arrive at this entry."""
 
-    greeted: set[str] = field(default_factory=set)
-    """Peer addresses of entries that were just seen; they are answered."""
+    pending_replies: set[str] = field(default_factory=set)
+    """Peer addresses of newly seen entries, which the next digest answers."""
 
     digests: int = 0
-    """Digests sent."""
+    """Number of digests sent."""
 
     next_upkeep_at: float = 0
-    """When to look next at who lives and who knows more of the store."""
+    """When liveness and store state are checked next."""
 
     next_digest_at: float = 0
     """When the next digest is due."""
 
     next_zone_digest_at: float = 0
-    """When the next digest of the zone is due, if this entry speaks."""
+    """When the next zone digest is due, if this entry is the relay."""
 
     @classmethod
     def from_settings(
@@ -179,7 +179,7 @@
         now: float,
         seed: int,
     ) -> 'SteeringState':
-        """Begin an incarnation that knows its settings only."""
+        """Start an incarnation that knows only its settings."""
         peer = settings.addresses.peer
         fleet = Fleet(who.name, settings.zone, peer)
         fleet.add_addresses(settings.seeds, now)
@@ -206,21 +206,21 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether a stop was requested."""
+        """Return whether a stop was requested."""
         return self.leaving_at < inf
 
     def settled(self, now: float) -> bool:
-        """Whether this entry has had the time to hear of the others."""
-        return now - self.started_at > SETTLING
+        """Return whether this entry has had time to discover the others."""
+        return now - self.started_at > DISCOVERY_TIME
 
     def typical_time(
         self,
         service: ServiceName,
         guess: float,
     ) -> LatencyEwma:
-        """Seconds that an execution takes at a service."""
-        known = self.usual.get(service)
+        """Return the typical execution time of a service in seconds."""
+        known = self.typical_times.get(service)
         if known is None:
             known = LatencyEwma(guess)
-            self.usual[service] = known
+            self.typical_times[service] = known
         return known
