--- a/tests/steering/fleet_world.py
+++ b/tests/steering/fleet_world.py
@@ -211,11 +211,11 @@
             event: Event = StoreUpdateFailed(self.now, fetch.kind, fetch.peer)
             if self._is_reached(peer) and self._is_reached(name):
                 source = self.states[peer]
-                news = store_update_since(
+                update = store_update_since(
                     source, fetch.kind, fetch.since, self.now
                 )
                 event = StoreUpdateFetched(
-                    self.now, fetch.kind, fetch.peer, news
+                    self.now, fetch.kind, fetch.peer, update
                 )
             if name in self.states and name not in self.frozen:
                 self._run(name, event)
--- a/tests/steering/test_peer_news.py
+++ b/tests/steering/test_peer_news.py
@@ -106,10 +106,10 @@
     event = _fetch(_source(), kind)
     assert isinstance(event, StoreUpdateFetched)
     assert event.kind is kind
-    assert event.news.revision == 1
-    names = {record.name for record in event.news.records}
+    assert event.update.revision == 1
+    names = {record.name for record in event.update.records}
     assert names == ({'1', '2'} if kind is StoreKind.UPSTREAMS else set())
-    configured = isinstance(event.news.configuration, RoutingConfiguration)
+    configured = isinstance(event.update.configuration, RoutingConfiguration)
     assert configured is (kind is StoreKind.CONFIGURATION)
 
 
@@ -118,7 +118,7 @@
     handler = _source()
     event = _fetch(handler, StoreKind.CONFIGURATION)
     assert isinstance(event, StoreUpdateFetched)
-    assert event.news.configuration == handler.engine.state.configuration
+    assert event.update.configuration == handler.engine.state.configuration
 
 
 def test_malformed_update_is_a_failure() -> None:
--- a/tests/steering/test_watching.py
+++ b/tests/steering/test_watching.py
@@ -258,8 +258,10 @@
     world = World((), (upstream('1'), upstream('2')))
     for ago in answers:
         world.state.catalog.store_health.record_answer(world.now - ago)
-    news = StoreUpdate(5, removed=('1',), store_age=age, store_return=recovered)
-    world.run(StoreUpdateFetched(world.now, StoreKind.UPSTREAMS, 'p', news))
+    update = StoreUpdate(
+        5, removed=('1',), store_age=age, store_return=recovered
+    )
+    world.run(StoreUpdateFetched(world.now, StoreKind.UPSTREAMS, 'p', update))
     assert ('1' in world.state.catalog.upstreams) is kept
     for _ in range(22):
         world.state.catalog.store_health.merge_age(0, world.now)
@@ -305,11 +307,11 @@
 
 
 def _fetch(source: World, follower: World, since: int) -> None:
-    news = store_update_since(
+    update = store_update_since(
         source.state, StoreKind.UPSTREAMS, since, source.now
     )
     follower.run(
-        StoreUpdateFetched(follower.now, StoreKind.UPSTREAMS, 'p', news)
+        StoreUpdateFetched(follower.now, StoreKind.UPSTREAMS, 'p', update)
     )
 
 
@@ -320,16 +322,18 @@
             world.run(StoreLost(world.now, kind, 'busy'))
         world.state.catalog.store_health.merge_age(2, world.now)
         world.wait(0.5)
-    news = StoreUpdate(5, removed=('1',), store_age=2)
-    world.run(StoreUpdateFetched(world.now, StoreKind.UPSTREAMS, 'p', news))
+    update = StoreUpdate(5, removed=('1',), store_age=2)
+    world.run(StoreUpdateFetched(world.now, StoreKind.UPSTREAMS, 'p', update))
     assert set(world.state.catalog.upstreams) == {'2'}
 
 
 def test_update_without_configuration_is_ignored() -> None:
     world = World()
     before = world.state.configuration
-    news = StoreUpdate(5, complete=True)
-    world.run(StoreUpdateFetched(world.now, StoreKind.CONFIGURATION, 'p', news))
+    update = StoreUpdate(5, complete=True)
+    world.run(
+        StoreUpdateFetched(world.now, StoreKind.CONFIGURATION, 'p', update)
+    )
     assert world.state.configuration is before
 
 
@@ -338,8 +342,8 @@
     world = World((), (upstream('1'), upstream('2')))
     drained = upstream('1', draining=True, sequence=2)
     world.run(UpstreamsChanged(world.now, (drained,), (), 9))
-    news = StoreUpdate(8, records=(upstream('1'),), complete=True)
-    world.run(StoreUpdateFetched(world.now, StoreKind.UPSTREAMS, 'p', news))
+    update = StoreUpdate(8, records=(upstream('1'),), complete=True)
+    world.run(StoreUpdateFetched(world.now, StoreKind.UPSTREAMS, 'p', update))
     known = world.state.catalog.upstreams
     assert known['1'].record.draining
     assert set(known) == {'1', '2'}
@@ -380,11 +384,11 @@
             follower.change(changed, removed, 0)
         if revision == listed_at:
             store_sync.record_list(revision)
-    news = store_sync.upstreams_since(source, since)
-    if news.complete:
-        follower.replace(news.records, 0)
+    update = store_sync.upstreams_since(source, since)
+    if update.complete:
+        follower.replace(update.records, 0)
     else:
-        follower.change(news.records, news.removed, 0)
+        follower.change(update.records, update.removed, 0)
     assert set(follower.upstreams) == set(source.upstreams)
     for name, found in source.upstreams.items():
         assert follower.upstreams[name].record == found.record
--- a/worksrail/core/steering/_fleet.py
+++ b/worksrail/core/steering/_fleet.py
@@ -198,7 +198,7 @@
     def is_relay(self, own: Contact, now: float) -> bool:
         """Return whether this entry ranks first in its zone."""
         return not any(
-            self._outranks(mate, own) for mate in self.zone_peers(now)
+            self._outranks(peer, own) for peer in self.zone_peers(now)
         )
 
     def relays(self, now: float) -> list[str]:
--- a/worksrail/core/steering/_on_digests.py
+++ b/worksrail/core/steering/_on_digests.py
@@ -163,7 +163,7 @@
     state.budgets.receive(digest.relay, digest.budgets, now, zone=digest.zone)
     region = state.settings.regions.get(digest.zone, '')
     _apply_keys(state, _load_key(digest.zone), region, digest.keys, now)
-    fresh = [one for one in digest.members if one.name not in known]
+    fresh = [contact for contact in digest.members if contact.name not in known]
     seen = [_entry_seen(state, contact) for contact in fresh]
     if len(seen) > MAX_LOGGED_EACH:
         count = ('count', len(seen))
@@ -237,7 +237,7 @@
     *,
     with_held: bool,
 ) -> Digest:
-    zone_peers = [mate.peer for mate in state.fleet.zone_peers(now)]
+    zone_peers = [contact.peer for contact in state.fleet.zone_peers(now)]
     alive = [entry.contact.peer for entry in state.fleet.alive(now)]
     known = state.rng.sample(zone_peers, min(_MAX_ADDRESSES, len(zone_peers)))
     known += state.rng.sample(alive, min(_MAX_ADDRESSES, len(alive)))
--- a/worksrail/core/steering/_store_watch.py
+++ b/worksrail/core/steering/_store_watch.py
@@ -83,19 +83,19 @@
 ) -> Iterator[Effect]:
     """Apply a store update that was fetched from another entry."""
     state.fetching.discard(event.kind)
-    news = event.news
-    if news.revision <= state.store_sync.revisions[event.kind]:
+    update = event.update
+    if update.revision <= state.store_sync.revisions[event.kind]:
         # This entry has learned of a later revision in the meantime.
         return
     # Recent outages are merged first, since they decide how removals are
     # treated.
-    yield from merge_store_report(state, news, event.now)
+    yield from merge_store_report(state, update, event.now)
     yield Decision(
         DecisionKind.NEWS_FETCHED,
         event.kind.value,
-        inputs=(('from', event.peer), ('revision', news.revision)),
+        inputs=(('from', event.peer), ('revision', update.revision)),
     )
-    yield from _apply_update(state, event.kind, news, event.now)
+    yield from _apply_update(state, event.kind, update, event.now)
 
 
 def on_update_failed(
@@ -120,13 +120,13 @@
     store_sync = state.store_sync
     revision = store_sync.revisions[kind]
     if kind is StoreKind.UPSTREAMS:
-        news = store_sync.upstreams_since(state.catalog, since)
+        update = store_sync.upstreams_since(state.catalog, since)
         return StoreUpdate(
-            news.revision,
-            records=news.records,
-            missing=news.missing,
-            removed=news.removed,
-            complete=news.complete,
+            update.revision,
+            records=update.records,
+            missing=update.missing,
+            removed=update.removed,
+            complete=update.complete,
             store_age=state.catalog.store_health.advertised_age(now),
             store_return=state.catalog.store_health.advertised_return(now),
         )
@@ -195,30 +195,31 @@
 def _apply_update(
     state: SteeringState,
     kind: StoreKind,
-    news: StoreUpdate,
+    update: StoreUpdate,
     now: float,
 ) -> Iterator[Effect]:
-    revision = news.revision
+    revision = update.revision
     if kind is StoreKind.EVACUATIONS:
-        zones = frozenset(news.zones)
+        zones = frozenset(update.zones)
         yield from _on_store.on_evacuations(
             state, EvacuationsRead(now, zones, revision)
         )
     elif kind is StoreKind.CONFIGURATION:
-        if news.configuration:
+        if update.configuration:
             yield from _on_store.on_configuration(
-                state, ConfigurationRead(now, news.configuration, revision)
+                state, ConfigurationRead(now, update.configuration, revision)
             )
-    elif news.complete:
-        known = news.records + news.missing
+    elif update.complete:
+        known = update.records + update.missing
         yield from _on_store.on_listed(
             state, UpstreamsListed(now, known, revision)
         )
-        gone = tuple(record.discovery_id for record in news.missing)
+        gone = tuple(record.discovery_id for record in update.missing)
         yield from _on_store.on_changed(
             state, UpstreamsChanged(now, (), gone, revision)
         )
     else:
         yield from _on_store.on_changed(
-            state, UpstreamsChanged(now, news.records, news.removed, revision)
+            state,
+            UpstreamsChanged(now, update.records, update.removed, revision),
         )
--- a/worksrail/core/steering/events.py
+++ b/worksrail/core/steering/events.py
@@ -196,7 +196,7 @@
     peer: str
     """Peer address of the other entry."""
 
-    news: StoreUpdate
+    update: StoreUpdate
     """The update."""
 
 
