--- a/worksrail/core/steering/_catalog.py
+++ b/worksrail/core/steering/_catalog.py
@@ -273,8 +273,8 @@
             if record.draining or upstream.misdirected:
                 continue
             if record.zone not in self.regions:
-                # Without a known zone, neither its distance nor the regions that
-                # may use it can be determined.
+                # Without a known zone, neither its distance nor the regions
+                # that may use it can be determined.
                 continue
             if record.zone not in self.evacuated:
                 services.setdefault(record.service, []).append(upstream)
--- a/worksrail/core/steering/_on_digests.py
+++ b/worksrail/core/steering/_on_digests.py
@@ -163,7 +163,7 @@
     state.budgets.receive(digest.relay, digest.budgets, now, zone=digest.zone)
     region = state.settings.regions.get(digest.zone, '')
     _apply_keys(state, _load_key(digest.zone), region, digest.keys, now)
-    fresh = [contact for contact in digest.members if contact.name not in known]
+    fresh = [member for member in digest.members if member.name not in known]
     seen = [_entry_seen(state, contact) for contact in fresh]
     if len(seen) > MAX_LOGGED_EACH:
         count = ('count', len(seen))
--- a/worksrail/core/steering/_on_time.py
+++ b/worksrail/core/steering/_on_time.py
@@ -113,7 +113,7 @@
 
 def _update_budgets(state: SteeringState, now: float) -> None:
     entries = state.fleet.entries.values()
-    staying = [entry for entry in entries if not entry.contact.leaving]
+    staying = [peer for peer in entries if not peer.contact.leaving]
     live = sum(entry.alive(now) for entry in staying)
     state.budgets.follow(state.settings.bounds.repeats, now)
     state.budgets.set_fleet_size(1 + live, 1 + len(staying))
--- a/worksrail/core/steering/_request.py
+++ b/worksrail/core/steering/_request.py
@@ -77,8 +77,7 @@
     """Upstreams that it must not be sent to again."""
 
     rerouting: bool = False
-    """Whether its attempt was cancelled because the upstream is
-    unresponsive."""
+    """Whether its attempt was cancelled here to try another upstream."""
 
     fingerprint: Fingerprint = 0
     """Value that it shares with its retries by the caller."""
