--- a/tests/steering/test_fleet.py
+++ b/tests/steering/test_fleet.py
@@ -203,7 +203,7 @@
     assert len(packed) <= len(msgspec.msgpack.encode(message))
 
 
-def test_make_zone_digest_is_packed_to_half_its_size() -> None:
+def test_large_zone_digest_is_packed_to_half_its_size() -> None:
     message = _make_zone_digest(22, 180)
     assert len(pack_message(message)) < len(msgspec.msgpack.encode(message)) / 2
 
--- a/tests/steering/test_requests.py
+++ b/tests/steering/test_requests.py
@@ -263,8 +263,8 @@
 def test_retriable_requests_leave_an_unresponsive_upstream(
     name: str, rerouted: bool
 ) -> None:
-    # Before, an upstream that did not answer at all had no failures counted
-    # against it (incident inc-4fbf).
+    # An upstream that never answered once had no failures counted against it
+    # (incident inc-4fbf).
     world = _world()
     number = world.ask(name)
     (unresponsive,) = world.sent(number)
