--- a/tests/steering/test_watching.py
+++ b/tests/steering/test_watching.py
@@ -274,7 +274,7 @@
 def test_upstream_kept_by_one_entry_is_not_kept_forever_by_others(
     since: int, returns: bool
 ) -> None:
-    # An entry that asked an update while the source still kept a missing
+    # An entry that fetched an update while the source still kept a missing
     # upstream once treated it as listed, and never learned of its removal.
     known = (upstream('1'), upstream('2'))
     source, follower = World((), known), World((), known)
