--- a/tests/steering/crash_policies.py
+++ b/tests/steering/crash_policies.py
@@ -1,10 +1,10 @@
-"""Compares ways to know a request that crashes upstreams: ``make policies``.
+"""Compares ways to detect requests that crash upstreams: ``make policies``.
 
-Each way is played on the same loads with the same seeds, over nine entries in
-six zones that lose a tenth of their datagrams.  A cell gives, over all seeds:
-upstreams that crashed under the faulty request, sends of it from 4 s after the
-third crash (worst seed), sound requests that were refused as held, and those
-that got no success.
+Each way runs on the same loads with the same seeds, over nine entries in six
+zones that lose a tenth of their datagrams.  A cell gives, over all seeds: the
+upstreams crashed by the faulty request, its sends from 4 s after the third
+crash (worst seed), the sound requests refused as held, and those without
+success.
 """
 
 import sys
@@ -32,27 +32,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """What happens in a play."""
+    """Parameters of one simulation."""
 
     faulty: bool = True
-    """A request that crashes upstreams comes again and again."""
+    """Whether a request that crashes upstreams is repeated by its caller."""
 
     paths: int = 0
-    """Number of popular paths; zero if all requests differ."""
+    """Number of popular paths; zero if the paths of all requests differ."""
 
     lost: float = 0
-    """Share of answers whose connection breaks instead."""
+    """Share of answers that are lost since their connection breaks."""
 
     zone_crash: bool = False
-    """Five upstreams crash at one moment."""
+    """Whether five upstreams crash at the same moment."""
 
 
 _LOADS: Final = {
-    'crashing request': Load(),
-    'beside 5 popular paths': Load(paths=5),
-    'beside 10 in 100 answers lost': Load(lost=0.1),
-    'none; 10 in 100 answers lost': Load(faulty=False, lost=0.1),
-    'none; five upstreams crash, 1 path': Load(
+    'faulty request': Load(),
+    'faulty request, 5 popular paths': Load(paths=5),
+    'faulty request, 10 in 100 answers lost': Load(lost=0.1),
+    'no faulty request, 10 in 100 answers lost': Load(faulty=False, lost=0.1),
+    'no faulty request, five upstreams crash, 1 path': Load(
         faulty=False, paths=1, zone_crash=True
     ),
 }
@@ -75,29 +75,29 @@
     record = quarantine.records.get(request)
     number = record.count + 1 if record else 1
     counted = replace(crash, number=number, last_success_at=inf)
-    return _note_crash(quarantine, request, counted, now)
+    return _record_crash(quarantine, request, counted, now)
 
 
-_note_crash: Final = Quarantine.record_crash
+_record_crash: Final = Quarantine.record_crash
 
 Change = tuple[Any, str, Any]
 _WAYS: Final[dict[str, tuple[Change, ...]]] = {
     'nothing is held': ((Quarantine, 'hold_time', _never),),
-    'own sightings only': ((Quarantine, 'advertise', _nothing),),
-    'own and told, each crash counts': (
+    'own crashes only': ((Quarantine, 'advertise', _nothing),),
+    'own and advertised, each crash counts': (
         (Quarantine, 'record_crash', _each_crash_counts),
     ),
-    'own and told, one after the other': (),
+    'own and advertised, consecutive crashes count': (),
     'the same, held for 30 s at first': (
         (_quarantine, '_HOLDS', (30.0, 120.0, 600.0, 3600.0)),
     ),
-    'the same, only if the upstream is gone': (),
+    'the same, only if the upstream is down': (),
 }
-_ORACLE: Final = 'the same, only if the upstream is gone'
+_ORACLE: Final = 'the same, only if the upstream is down'
 
 
-class _TellingWorld(CrashingWorld):
-    """Says at each break whether the upstream's other connections are gone."""
+class _OracleWorld(CrashingWorld):
+    """Ignores broken connections of upstreams that have not crashed."""
 
     def record_crash(
         self,
@@ -106,19 +106,19 @@
         crash: Crash,
         now: float,
     ) -> int:
-        """Pass over a break at an upstream that is still there."""
+        """Record a crash unless its upstream is still up."""
         if self.servers[crash.upstream].down_until <= self.now:
             return 0
-        return _note_crash(quarantine, request, crash, now)
+        return _record_crash(quarantine, request, crash, now)
 
 
-def play(way: str, load_name: str, seed: int) -> Counter[str]:
-    """What came of one play."""
+def simulate(way: str, load_name: str, seed: int) -> Counter[str]:
+    """Run one simulation and return its counts."""
     load = _LOADS[load_name]
     with ExitStack() as changes:
         for owner, name, value in _WAYS[way]:
             changes.enter_context(mock.patch.object(owner, name, value))
-        world = _TellingWorld(
+        world = _OracleWorld(
             _ZONES,
             _REGIONS,
             0.1,
@@ -130,11 +130,11 @@
         )
         if way == _ORACLE:
 
-            def note(*arguments: Any) -> int:
+            def record(*arguments: Any) -> int:
                 return world.record_crash(*arguments)
 
             changes.enter_context(
-                mock.patch.object(Quarantine, 'record_crash', note)
+                mock.patch.object(Quarantine, 'record_crash', record)
             )
         _run(world, load)
     return _result(world, load)
@@ -166,11 +166,11 @@
 
 
 def table(processes: int) -> Iterator[str]:
-    """Lines of a Markdown table, a way a row."""
-    plays = list(product(_WAYS, _LOADS, _SEEDS))
+    """Yield the lines of a Markdown table with a row for each way."""
+    runs = list(product(_WAYS, _LOADS, _SEEDS))
     with ProcessPoolExecutor(processes) as pool:
-        results = list(pool.map(play, *zip(*plays, strict=True)))
-    found = dict(zip(plays, results, strict=True))
+        results = list(pool.map(simulate, *zip(*runs, strict=True)))
+    found = dict(zip(runs, results, strict=True))
     yield f'| way | {" | ".join(_LOADS)} |'
     yield '|---' * (len(_LOADS) + 1) + '|'
     for way in _WAYS:
@@ -181,9 +181,9 @@
         yield f'| {way} | {" | ".join(cells)} |'
 
 
-def _cell(plays: list[Counter[str]]) -> str:
-    total: Counter[str] = sum(plays, Counter())
-    after = max(one['after'] for one in plays)
+def _cell(counts: list[Counter[str]]) -> str:
+    total: Counter[str] = sum(counts, Counter())
+    after = max(one['after'] for one in counts)
     return (
         f'{total["crashes"]} crashed, {after} after; of {total["ended"]} '
         f'{total["held"]} held, {total["lost"]} without success'
--- a/tests/steering/crashing_world.py
+++ b/tests/steering/crashing_world.py
@@ -1,9 +1,9 @@
-"""A fleet of entries whose upstreams crash under certain requests.
+"""Simulates a fleet of entries whose upstreams crash under certain requests.
 
-Callers send requests to entries drawn at random.  An upstream that begins a
-request with a fault crashes after a moment: all that it executes breaks, and
-it refuses connections until it is back.  The caller of such a request comes
-back after each answer, whatever that says.
+Callers send requests to random entries.  An upstream that starts a faulty
+request crashes shortly after: all requests that it executes break, and it
+refuses connections until it is up again.  The caller of a faulty request sends
+it again after each answer, whatever the answer is.
 """
 
 import random
@@ -22,24 +22,24 @@
     SteeredHead,
 )
 
-# Seconds from the begin of an execution until its upstream crashes.
+# Seconds from the start of a faulty execution until its upstream crashes.
 _CRASH_AFTER = 0.1
 # Seconds of any other execution.
-_WORK = 0.4
-# Seconds for which an upstream that crashed refuses connections.
-_AWAY = 2.0
-# Seconds after which a caller comes back.
-_RETURN_AFTER = 0.2
+_EXECUTION = 0.4
+# Seconds for which an upstream is down after a crash.
+_DOWNTIME = 2.0
+# Seconds after which a caller retries.
+_RETRY_AFTER = 0.2
 # Seconds that callers wait for an answer.
-_PATIENCE = 2.5
-# Times that callers of sound requests come back after an answer without
+_CALLER_TIMEOUT = 2.5
+# Maximum number of retries of a sound request that was not answered with
 # success.
-_RETURNS = 1
+_MAX_RETRIES = 1
 
 
 @unique
-class Away(Enum):
-    """What callers of an upstream that crashed meet until it is back."""
+class WhileDown(Enum):
+    """Behaviour of the address of an upstream while it is down."""
 
     REFUSES = 'no connection'
     RESETS = 'a connection that is reset at once'
@@ -48,22 +48,22 @@
 
 @dataclass(slots=True)
 class Faults:
-    """What is wrong with some requests and answers."""
+    """Faults of requests, upstreams and answers."""
 
     crashing: frozenset[str] = frozenset()
-    """Targets under which upstreams crash."""
+    """Targets of the requests that crash upstreams."""
 
-    away: Away = Away.REFUSES
-    """What an upstream that crashed does until it is back."""
+    while_down: WhileDown = WhileDown.REFUSES
+    """Behaviour of an upstream while it is down."""
 
     lost: float = 0
-    """Share of the answers whose connection breaks instead."""
+    """Share of answers that are lost since their connection breaks."""
 
 
 @dataclass(slots=True)
 class _Caller:
     target: str
-    returns: int = 0
+    retries: int = 0
     faulty: bool = False
 
 
@@ -85,10 +85,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """One request that reached an upstream."""
+    """A request that reached an upstream."""
 
     at: float
-    """When, by the world's clock."""
+    """Time of the simulation."""
 
     entry: str
     """Entry that sent it."""
@@ -98,7 +98,7 @@
 
 
 class CrashingWorld(FleetWorld):
-    """Entries, upstreams that crash, and their callers."""
+    """A fleet with upstreams that crash, and callers."""
 
     def __init__(
         self,
@@ -112,20 +112,20 @@
         paths: int = 0,
         seed: int = 1,
     ) -> None:
-        """Start entries and upstreams, and let the entries find each other.
+        """Start entries and upstreams, and wait for the entries' discovery.
 
-        Sound requests come at a rate a second.  Their paths differ, or are
-        drawn from a number of popular ones.
+        Sound requests arrive at ``rate`` a second.  Their paths all differ, or
+        are drawn from ``paths`` popular ones.
         """
         self.servers: dict[str, _Upstream] = {}
         self.faults = faults or Faults()
         self.rate = rate
         self.paths = paths
-        self.draw = random.Random(seed)
+        self.traffic_rng = random.Random(seed)
         self.callers: dict[tuple[str, int], _Caller] = {}
-        self.returning: list[tuple[float, _Caller]] = []
+        self.retrying: list[tuple[float, _Caller]] = []
         self.asked = 0
-        self.owed = 0.0
+        self.backlog = 0.0
         self.sends: list[Send] = []
         self.crashes: list[tuple[float, str]] = []
         self.answers: list[AnswerResult] = []
@@ -149,10 +149,10 @@
         super().wait(2)
 
     def start(self, name: str) -> None:
-        """Start an entry, or start it again; its requests break."""
+        """Start or restart an entry; a restart breaks its requests."""
         super().start(name)
         for key in [key for key in self.callers if key[0] == name]:
-            self._come_back(self.callers.pop(key))
+            self._schedule_retry(self.callers.pop(key))
         for server in self.servers.values():
             server.executing = [
                 one for one in server.executing if one.entry != name
@@ -161,43 +161,43 @@
             self.deliver_store(name, 1, self.records)
 
     def ask(self, target: str, *, faulty: bool = False) -> None:
-        """A caller sends a request to any entry that runs."""
+        """Send a request of a new caller to a random entry."""
         self._send(_Caller(target, faulty=faulty))
 
     def crash(self, name: str) -> None:
-        """An upstream crashes, whatever it executes."""
+        """Crash an upstream; all requests that it executes break."""
         server = self.servers[name]
         broken, server.executing = server.executing, []
-        server.down_until = self.now + _AWAY
+        server.down_until = self.now + _DOWNTIME
         self.crashes.append((self.now, name))
         for one in broken:
             self._end(one, AttemptOutcome.BROKE_BEFORE_ANSWER)
 
     def reached(self, target: str, since: float = 0) -> list[Send]:
-        """Requests for a path that reached upstreams from some time on."""
+        """Return the requests for a path that reached upstreams later on."""
         return [
             one for one in self.sends if one.target == target and one.at > since
         ]
 
     def wait(self, seconds: float) -> None:
-        """Let time pass; callers come and come back."""
+        """Advance time; callers send new requests and retries."""
         steps = round(seconds / STEP)
         for _ in range(steps):
             super().wait(STEP)
             self._execute()
-            self._let_callers_come()
+            self._send_due_requests()
 
     def _perform(self, name: str, effects: list[Effect]) -> None:
         super()._perform(name, effects)
         for send in of_type(effects, SendUpstream):
-            self._begin(name, send)
+            self._start_execution(name, send)
         for answer in of_type(effects, AnswerResult):
             caller = self.callers.pop((name, answer.request), None)
             self.answers.append(answer)
             if caller:
-                self._take_result(caller, answer.code)
+                self._handle_result(caller, answer.code)
 
-    def _begin(self, entry: str, send: SendUpstream) -> None:
+    def _start_execution(self, entry: str, send: SendUpstream) -> None:
         server = self.servers[send.upstream]
         target = self.callers[entry, send.request].target
         execution = _Execution(
@@ -206,8 +206,8 @@
         if server.down_until <= self.now:
             self.sends.append(Send(self.now, entry, target))
             crashes = target in self.faults.crashing
-            execution.ends_at += _CRASH_AFTER if crashes else _WORK
-        elif self.faults.away is Away.SILENT:
+            execution.ends_at += _CRASH_AFTER if crashes else _EXECUTION
+        elif self.faults.while_down is WhileDown.SILENT:
             execution.ends_at = server.down_until
         server.executing.append(execution)
 
@@ -218,7 +218,7 @@
                     continue
                 if server.down_until > self.now:
                     server.executing.remove(one)
-                    self._end(one, self._missed())
+                    self._end(one, self._outcome_while_down())
                 elif one.begun_at < server.down_until:
                     server.executing.remove(one)
                     self._end(one, AttemptOutcome.BROKE_BEFORE_ANSWER)
@@ -228,13 +228,13 @@
                     server.executing.remove(one)
                     self._end(one, self._outcome())
 
-    def _missed(self) -> AttemptOutcome:
-        if self.faults.away is Away.REFUSES:
+    def _outcome_while_down(self) -> AttemptOutcome:
+        if self.faults.while_down is WhileDown.REFUSES:
             return AttemptOutcome.NOT_CONNECTED
         return AttemptOutcome.BROKE_BEFORE_ANSWER
 
     def _outcome(self) -> AttemptOutcome:
-        if self.draw.random() < self.faults.lost:
+        if self.traffic_rng.random() < self.faults.lost:
             return AttemptOutcome.BROKE_BEFORE_ANSWER
         return AttemptOutcome.ANSWERED
 
@@ -257,35 +257,35 @@
             ),
         )
 
-    def _take_result(self, caller: _Caller, code: ResultCode) -> None:
+    def _handle_result(self, caller: _Caller, code: ResultCode) -> None:
         counts = self.faulty_codes if caller.faulty else self.codes
         counts[code.name] += 1
-        self._come_back(caller)
+        self._schedule_retry(caller)
 
-    def _come_back(self, caller: _Caller) -> None:
-        if caller.faulty or caller.returns < _RETURNS:
-            caller.returns += 1
-            self.returning.append((self.now + _RETURN_AFTER, caller))
+    def _schedule_retry(self, caller: _Caller) -> None:
+        if caller.faulty or caller.retries < _MAX_RETRIES:
+            caller.retries += 1
+            self.retrying.append((self.now + _RETRY_AFTER, caller))
 
-    def _let_callers_come(self) -> None:
-        due = [one for at, one in self.returning if at <= self.now]
-        self.returning = [one for one in self.returning if one[0] > self.now]
+    def _send_due_requests(self) -> None:
+        due = [one for at, one in self.retrying if at <= self.now]
+        self.retrying = [one for one in self.retrying if one[0] > self.now]
         for caller in due:
             self._send(caller)
-        self.owed += self.rate * STEP
-        while self.owed >= 1:
-            self.owed -= 1
+        self.backlog += self.rate * STEP
+        while self.backlog >= 1:
+            self.backlog -= 1
             number = self.asked
             if self.paths:
-                number = self.draw.randrange(self.paths)
+                number = self.traffic_rng.randrange(self.paths)
             self.ask(f'/read/{number}')
 
     def _send(self, caller: _Caller) -> None:
         running = sorted(set(self.states) - self.frozen)
-        entry = self.draw.choice(running)
+        entry = self.traffic_rng.choice(running)
         self.asked += 1
         self.callers[entry, self.asked] = caller
         head = SteeredHead(
-            f't{self.asked}', HOST, 'GET', caller.target, _PATIENCE, ''
+            f't{self.asked}', HOST, 'GET', caller.target, _CALLER_TIMEOUT, ''
         )
         self._run(entry, RequestArrived(self.now, self.asked, head))
--- a/tests/steering/playing.py
+++ b/tests/steering/playing.py
@@ -1,9 +1,9 @@
-"""Plays a load on one entry and upstreams that queue, on a virtual clock.
+"""Simulates a load on one entry and queueing upstreams, on a virtual clock.
 
-Upstreams execute one request a slot, queue the others in order, and remember
-the keys that they began to execute last: such a key is warm, and its execution
-short, also beside the first one that is still under way.
-Arrivals, keys and times repeat exactly with the same seed.
+Upstreams execute one request per slot, queue the others in order, and cache
+the keys whose execution they started last.  Such a key is warm and its
+execution short, even while the first execution of the key is still running.
+Arrivals, keys and times are the same for the same seed.
 """
 
 import heapq
@@ -29,61 +29,62 @@
 
 
 @dataclass(slots=True)
-class Playing:
-    """What is the same for a whole play."""
+class LoadSettings:
+    """Parameters of one simulation."""
 
     rate: float
     """Requests a second."""
 
     keys: int
-    """Different keys, each as frequent as the next."""
+    """Number of different keys, uniformly distributed."""
 
     seconds: float = 20.0
-    """Length of the play."""
+    """Length of the simulation."""
 
     cold: float = 0.36
     """Seconds of an execution whose key is cold."""
 
     warm: float = 0.11
-    """Seconds of one whose key is warm."""
+    """Seconds of an execution whose key is warm."""
 
     target: float = 0.25
-    """Seconds within which callers want their answers."""
+    """Target latency in seconds."""
 
-    memory: int = 50
-    """Keys that an upstream remembers, those of each route by themselves."""
+    cache_size: int = 50
+    """Keys that an upstream caches; the same key on two routes counts twice."""
 
     routes: int = 1
-    """Routes, each as frequent as the next; each has all keys."""
+    """Number of routes, uniformly distributed; each has all keys."""
 
     seed: int = 1
-    """Seed of arrivals."""
+    """Seed of arrivals, keys and execution times."""
 
-    counted_from: float = 5.0
-    """Seconds that are not counted: every key is cold at first."""
+    warmup: float = 5.0
+    """Seconds at the start that are not counted, since all keys are cold."""
 
     burst: tuple[float, float, float] = (0, 0, 1)
-    """From when to when there are so many times the requests."""
+    """Start and end of a burst in seconds, and the factor of its rate."""
 
     rejecting: tuple[int, float] = (0, 0)
-    """So many upstreams reject a share of their requests once it counts."""
+    """Number of upstreams that reject requests after the warm-up, and the
+    share of requests that each of them rejects."""
 
-    patience: float = 2.0
-    """Seconds that callers wait, and within which they come back once."""
+    caller_timeout: float = 2.0
+    """Seconds until callers give up, over the first request and one retry."""
 
 
-# Seconds that a caller needs to come back on a new connection.
-_NEW_CONNECTION = 0.03
-# Seconds until a rejection is back.
-_REJECTION = 0.002
+# Seconds that a caller needs to open a new connection for a retry.
+_RECONNECT_TIME = 0.03
+# Seconds from sending a request until its rejection arrives.
+_REJECTION_TIME = 0.002
 
 
 @dataclass(slots=True)
 class _Caller:
-    since: float
+    arrived_at: float
     route: str
     key: str
-    returned: bool = False
+    retried: bool = False
 
 
 @dataclass(slots=True)
@@ -95,97 +96,99 @@
     warm: OrderedDict[str, None] = field(default_factory=OrderedDict)
 
 
-class Play:
-    """One play, and what callers got."""
+class LoadSimulation:
+    """One simulation and the outcomes of its requests."""
 
     def __init__(
         self,
-        playing: Playing,
+        settings: LoadSettings,
         records: Iterable[UpstreamRecord],
     ) -> None:
-        """Prepare the entry and the upstreams."""
-        self.playing = playing
-        self.rng = random.Random(playing.seed)
-        named = tuple(records)
+        """Create the entry and the upstreams."""
+        self.settings = settings
+        self.rng = random.Random(settings.seed)
+        all_records = tuple(records)
         routes = [
-            route(f'read{number}', target_latency=playing.target)
-            for number in range(playing.routes)
+            route(f'read{number}', target_latency=settings.target)
+            for number in range(settings.routes)
         ]
-        self.world = World(routes, named)
-        self.upstreams = {one.name: _Upstream(one.slots) for one in named}
-        count, share = playing.rejecting
+        self.world = World(routes, all_records)
+        self.upstreams = {one.name: _Upstream(one.slots) for one in all_records}
+        count, share = settings.rejecting
         for name in list(self.upstreams)[:count]:
             self.upstreams[name].rejects = share
         self.start = self.world.now
-        self.agenda: list[tuple[float, int, Callable[[], None]]] = []
-        self.planned = 0
-        self.arrived: dict[int, _Caller] = {}
-        self.got: Counter[str] = Counter()
+        self.events: list[tuple[float, int, Callable[[], None]]] = []
+        self.scheduled = 0
+        self.pending: dict[int, _Caller] = {}
+        self.outcomes: Counter[str] = Counter()
         self.rejected = 0
 
     def run(self) -> Counter[str]:
-        """Play to the end; counts of in time, late and refused."""
-        self._after(0, self._arrive)
-        self._after(0, self._tick)
-        while self.agenda:
-            at, _, action = heapq.heappop(self.agenda)
+        """Run to the end and return the counts of in time, late, refused."""
+        self._schedule(0, self._arrive)
+        self._schedule(0, self._tick)
+        while self.events:
+            at, _, action = heapq.heappop(self.events)
             self.world.now = at
             action()
-        return self.got
+        return self.outcomes
 
-    def _after(self, seconds: float, action: Callable[[], None]) -> None:
-        self.planned += 1
+    def _schedule(self, seconds: float, action: Callable[[], None]) -> None:
+        self.scheduled += 1
         at = self.world.now + seconds
-        heapq.heappush(self.agenda, (at, self.planned, action))
+        heapq.heappush(self.events, (at, self.scheduled, action))
 
     def _is_over(self) -> bool:
-        return self.world.now - self.start > self.playing.seconds
+        return self.world.now - self.start > self.settings.seconds
 
     def _tick(self) -> None:
         if not self._is_over():
-            self._take(self.world.run(Ticked(self.world.now)))
-            self._after(_TICK, self._tick)
+            self._handle(self.world.run(Ticked(self.world.now)))
+            self._schedule(_TICK, self._tick)
 
     def _arrive(self) -> None:
         if self._is_over():
             return
-        self._after(self.rng.expovariate(self._rate()), self._arrive)
-        key = f'k{self.rng.randrange(self.playing.keys)}'
-        name = f'read{self.rng.randrange(self.playing.routes)}'
+        self._schedule(self.rng.expovariate(self._rate()), self._arrive)
+        key = f'k{self.rng.randrange(self.settings.keys)}'
+        name = f'read{self.rng.randrange(self.settings.routes)}'
         self._ask(_Caller(self.world.now, name, key))
 
     def _rate(self) -> float:
-        begin, end, factor = self.playing.burst
+        begin, end, factor = self.settings.burst
         if begin <= self.world.now - self.start < end:
-            return self.playing.rate * factor
-        return self.playing.rate
+            return self.settings.rate * factor
+        return self.settings.rate
 
     def _ask(self, caller: _Caller) -> None:
         self.world.requests += 1
         number = self.world.requests
-        self.arrived[number] = caller
-        left = caller.since + self.playing.patience - self.world.now
+        self.pending[number] = caller
+        left = caller.arrived_at + self.settings.caller_timeout - self.world.now
         target = f'/{caller.route}/x'
         head = SteeredHead(
             f't{number}', 'orders.example', 'GET', target, left, caller.key
         )
-        self._take(self.world.run(RequestArrived(self.world.now, number, head)))
+        self._handle(
+            self.world.run(RequestArrived(self.world.now, number, head))
+        )
 
-    def _take(self, effects: list[Effect]) -> None:
+    def _handle(self, effects: list[Effect]) -> None:
         for answer in of_type(effects, AnswerResult):
-            self._refused(answer)
+            self._handle_refusal(answer)
         for sent in of_type(effects, SendUpstream):
-            caller = self.arrived[sent.request]
+            caller = self.pending[sent.request]
             place = self.upstreams[sent.upstream]
             if self._is_rejected(place):
                 self._reject(sent)
                 continue
-            remembered = f'{caller.route} {caller.key}'
-            place.queue.append((sent.request, sent.attempt, remembered))
-            self._start(place)
+            cache_key = f'{caller.route} {caller.key}'
+            place.queue.append((sent.request, sent.attempt, cache_key))
+            self._start_queued(place)
 
     def _is_rejected(self, place: _Upstream) -> bool:
-        if self.world.now - self.start < self.playing.counted_from:
+        if self.world.now - self.start < self.settings.warmup:
             return False
         return bool(place.rejects) and self.rng.random() < place.rejects
 
@@ -193,34 +196,34 @@
         if sent.attempt == 1:
             self.rejected += 1
         action = partial(self._end_rejected, sent.request, sent.attempt)
-        self._after(_REJECTION, action)
+        self._schedule(_REJECTION_TIME, action)
 
     def _end_rejected(self, number: int, attempt: int) -> None:
         outcome = AttemptOutcome.NOT_EXECUTED
         event = AttemptEnded(self.world.now, number, attempt, outcome, 503)
-        self._take(self.world.run(event))
+        self._handle(self.world.run(event))
 
-    def _refused(self, answer: AnswerResult) -> None:
-        caller = self.arrived.pop(answer.request)
-        if caller.returned or not answer.retry_after:
+    def _handle_refusal(self, answer: AnswerResult) -> None:
+        caller = self.pending.pop(answer.request)
+        if caller.retried or not answer.retry_after:
             self._count(caller, 'refused')
             return
-        caller.returned = True
-        pause = answer.retry_after + _NEW_CONNECTION
-        self._after(pause, partial(self._ask, caller))
+        caller.retried = True
+        delay = answer.retry_after + _RECONNECT_TIME
+        self._schedule(delay, partial(self._ask, caller))
 
-    def _start(self, place: _Upstream) -> None:
+    def _start_queued(self, place: _Upstream) -> None:
         while place.queue and place.running < place.slots:
             number, attempt, key = place.queue.popleft()
             place.running += 1
-            known = key in place.warm
+            is_warm = key in place.warm
             place.warm[key] = None
             place.warm.move_to_end(key)
-            if len(place.warm) > self.playing.memory:
+            if len(place.warm) > self.settings.cache_size:
                 place.warm.popitem(last=False)
-            usual = self.playing.warm if known else self.playing.cold
-            taken = usual * self.rng.uniform(0.85, 1.15)
-            self._after(taken, partial(self._end, place, number, attempt))
+            mean = self.settings.warm if is_warm else self.settings.cold
+            duration = mean * self.rng.uniform(0.85, 1.15)
+            self._schedule(duration, partial(self._end, place, number, attempt))
 
     def _end(
         self,
@@ -229,34 +232,35 @@
         attempt: int,
     ) -> None:
         place.running -= 1
-        self._start(place)
-        caller = self.arrived.pop(number)
-        late = self.world.now - caller.since > self.playing.target
+        self._start_queued(place)
+        caller = self.pending.pop(number)
+        late = self.world.now - caller.arrived_at > self.settings.target
         self._count(caller, 'late' if late else 'in time')
-        told = ReportedLoad(place.running, len(place.queue), place.slots)
+        load = ReportedLoad(place.running, len(place.queue), place.slots)
         ended = AttemptEnded(
-            self.world.now, number, attempt, AttemptOutcome.ANSWERED, 200, told
+            self.world.now, number, attempt, AttemptOutcome.ANSWERED, 200, load
         )
-        self._take(self.world.run(ended))
+        self._handle(self.world.run(ended))
 
-    def _count(self, caller: _Caller, what: str) -> None:
-        if caller.since - self.start > self.playing.counted_from:
-            self.got[what] += 1
+    def _count(self, caller: _Caller, outcome: str) -> None:
+        if caller.arrived_at - self.start > self.settings.warmup:
+            self.outcomes[outcome] += 1
 
 
-def shares_of(
-    playing: Playing,
+def outcome_shares(
+    settings: LoadSettings,
     upstreams: int = 8,
     slots: int = 4,
 ) -> dict[str, float]:
-    """Shares of the requests that were in time, late and refused."""
+    """Simulate a load; return the shares of in time, late and refused."""
     records = [
         upstream(str(number), slots=slots) for number in range(upstreams)
     ]
-    play = Play(playing, records)
-    got = play.run()
-    total = sum(got.values())
+    simulation = LoadSimulation(settings, records)
+    outcomes = simulation.run()
+    total = sum(outcomes.values())
     shares = {
-        what: got[what] / total for what in ('in time', 'late', 'refused')
+        outcome: outcomes[outcome] / total
+        for outcome in ('in time', 'late', 'refused')
     }
-    return shares | {'first rejected': play.rejected / total}
+    return shares | {'first rejected': simulation.rejected / total}
--- a/tests/steering/test_against_naive.py
+++ b/tests/steering/test_against_naive.py
@@ -1,4 +1,4 @@
-"""Differential and property tests against obvious versions."""
+"""Differential and property tests against naive implementations."""
 
 from collections import Counter
 
@@ -23,9 +23,9 @@
 _PREFIXES = st.lists(_SEGMENT, max_size=3).map(
     lambda parts: '/' + ''.join(f'{part}/' for part in parts)
 )
-# Seconds in which repeats are counted, and between two digests.
+# Window in which repeats are counted, and interval of digests; seconds.
 _WINDOW = 10.0
-_DIGEST = 0.2
+_DIGEST_INTERVAL = 0.2
 _GAPS = st.lists(st.floats(0, 1.5), min_size=1, max_size=80)
 
 
@@ -71,19 +71,23 @@
     return sum(begin <= at < begin + _WINDOW for at in times)
 
 
-def _tell_each_other(
+def _exchange_digests(
     entries: list[SharedBudgets], before: float, now: float
 ) -> None:
-    """Exchange digests as often as they are due from one moment to another."""
-    for turn in range(int(before / _DIGEST) + 1, int(now / _DIGEST) + 1):
-        at = turn * _DIGEST
-        told = [entry.advertise(at) for entry in entries]
+    """Exchange the digests that are due between two points in time."""
+    for turn in range(
+        int(before / _DIGEST_INTERVAL) + 1, int(now / _DIGEST_INTERVAL) + 1
+    ):
+        at = turn * _DIGEST_INTERVAL
+        advertised = [entry.advertise(at) for entry in entries]
         for entry in entries:
             entry.set_fleet_size(len(entries), len(entries))
             entry.maintain(at)
             for number, one in enumerate(entries):
                 if one is not entry:
-                    entry.receive(Incarnation(str(number), 1), told[number], at)
+                    entry.receive(
+                        Incarnation(str(number), 1), advertised[number], at
+                    )
 
 
 @given(
@@ -98,7 +102,7 @@
     + [(1, True, 0.1)] * 50
     + [(1, False, 0.0)] * 20
 )
-def test_repeats_of_all_entries_stay_in_the_budget(
+def test_repeats_of_all_entries_stay_within_the_budget(
     steps: list[tuple[int, bool, float]],
 ) -> None:
     bounds = BudgetBounds(ratio=0.2, window=_WINDOW, extra=6)
@@ -107,7 +111,7 @@
     repeats: list[float] = []
     now = 0.0
     for entry, is_request, gap in steps:
-        _tell_each_other(entries, now, now + gap)
+        _exchange_digests(entries, now, now + gap)
         now += gap
         if is_request:
             entries[entry].record_request('orders', now)
--- a/tests/steering/test_choice.py
+++ b/tests/steering/test_choice.py
@@ -1,4 +1,4 @@
-"""Which upstream a request goes to."""
+"""The choice of the upstream for a request."""
 
 import pickle
 from collections import Counter
@@ -19,7 +19,7 @@
 
 
 def _answers(world: World, count: int, key: str = '', gap: float = 0.1) -> str:
-    """Upstreams of some requests in turn, each answered before the next."""
+    """Return the upstreams of successive requests, one at a time."""
     names = []
     for _ in range(count):
         number = world.ask(key=key)
@@ -59,10 +59,10 @@
 
 
 @pytest.mark.parametrize('count', [40, 400])
-def test_what_is_kept_of_a_key_does_not_grow_with_the_upstreams(
+def test_memory_for_a_key_does_not_grow_with_the_upstreams(
     count: int,
 ) -> None:
-    # An order of 395 upstreams for each of 500 keys took 9.4 MB of an entry.
+    # The order of all 395 upstreams for each of 500 keys took 9.4 MB.
     world = World((), tuple(upstream(f'i-{name:08x}') for name in range(count)))
     for number in range(30):
         _answers(world, 1, f'k{number}', gap=0.05)
@@ -83,19 +83,19 @@
     return {key: next(ring.nearest(found)) for key, found in probes.items()}
 
 
-def test_keys_follow_slots() -> None:
+def test_keys_are_spread_in_proportion_to_slots() -> None:
     slots = {str(name): 3 for name in range(20)}
     slots |= {f'large-{name}': 9 for name in range(20)}
     owners = Counter(_owners(_ring(slots), 8000).values())
     large = sum(owners[name] for name in slots if name.startswith('large'))
     assert 2.6 < large / (8000 - large) < 3.4
-    # Without several probes the busiest has some times its part.
+    # With a single probe the busiest would have several times its part.
     busiest = max(owners[name] / slots[name] for name in slots)
     assert busiest < 1.4 * 8000 / sum(slots.values())
 
 
 @pytest.mark.parametrize('count', [1, 2, 5, 60])
-def test_ring_moves_only_the_keys_of_what_leaves(count: int) -> None:
+def test_ring_moves_only_the_keys_of_a_removed_upstream(count: int) -> None:
     slots = {str(name): 1 + name % 5 for name in range(count)}
     before = _owners(_ring(slots), 500)
     without = {name: slots[name] for name in slots if name != '0'}
@@ -108,13 +108,13 @@
 
 
 @pytest.mark.parametrize('count', [1, 3, 40])
-def test_ring_names_every_upstream_once(count: int) -> None:
+def test_ring_yields_every_upstream_once(count: int) -> None:
     slots = {str(name): 2 for name in range(count)}
-    named = list(_ring(slots).nearest(probes_of('k')))
-    assert sorted(named) == sorted(slots)
+    names = list(_ring(slots).nearest(probes_of('k')))
+    assert sorted(names) == sorted(slots)
 
 
-def test_load_that_others_tell_counts() -> None:
+def test_load_advertised_by_other_entries_counts() -> None:
     pair = (upstream('1'), upstream('2'))
     world = World((route(affinity=False),), pair)
     busy = _answers(world, 1)
@@ -122,7 +122,7 @@
     assert _answers(world, 1) != busy
 
 
-def test_load_of_a_silent_entry_is_forgotten() -> None:
+def test_load_of_a_silent_entry_is_dropped() -> None:
     world = World((), _SIX)
     world.run(DigestReceived(world.now, digest('two', in_flight={'1': 3})))
     assert world.state.loads.of('1').in_flight == 3
@@ -139,7 +139,7 @@
     ],
     ids=['draining', 'gone', 'evacuated'],
 )
-def test_upstream_that_leaves_gets_nothing(change: object) -> None:
+def test_unusable_upstream_gets_no_requests(change: object) -> None:
     other = upstream('2', zone='a2')
     world = World((), (upstream('1'), other))
     world.run(type(change)(world.now, *_arguments(change)))
@@ -153,7 +153,7 @@
     return change.records, change.removed
 
 
-def test_repeat_does_not_go_to_what_left_meanwhile() -> None:
+def test_repeat_is_not_sent_to_an_upstream_that_is_draining_by_then() -> None:
     trio = tuple(upstream(name) for name in ('1', '2', '3'))
     world = World((), trio)
     number = world.ask()
@@ -169,7 +169,7 @@
     assert len(world.sent(number)) == 2
 
 
-def test_misdirected_upstream_gets_nothing_more() -> None:
+def test_misdirected_upstream_gets_no_further_requests() -> None:
     world = World((), (upstream('1'), upstream('2')))
     number = world.ask()
     (wrong,) = world.sent(number)
@@ -177,7 +177,7 @@
     assert wrong not in set(_answers(world, 6))
 
 
-def test_allowed_regions_bind() -> None:
+def test_request_stays_within_the_allowed_regions() -> None:
     abroad = upstream('9', zone='b1')
     near = upstream('1', slots=1)
     world = World((route(regions=frozenset({'b'})),), (near, abroad))
@@ -196,7 +196,7 @@
     assert used <= {'0', '2', '4'}
 
 
-def test_split_keeps_weights_when_a_part_is_short() -> None:
+def test_split_keeps_its_weights() -> None:
     parts = (ServiceWeight('orders', 3), ServiceWeight('stock', 1))
     world = World(
         (route(parts=parts),),
@@ -206,7 +206,7 @@
     assert counts == {'1': 60, '9': 20}
 
 
-def test_failing_upstream_is_left_alone_then_tried_again() -> None:
+def test_failing_upstream_is_ejected_then_tried_again() -> None:
     world = World((route(max_attempts=1),), (upstream('1'), upstream('2')))
     bad = world.sent(world.ask(key='k'))[0]
     world.end(world.requests, AttemptOutcome.BROKE_BEFORE_ANSWER)
@@ -226,7 +226,7 @@
         world.end(number, AttemptOutcome.BROKE_BEFORE_ANSWER)
 
 
-def test_slow_upstream_loses_its_keys_for_a_while() -> None:
+def test_slow_upstream_temporarily_loses_its_keys() -> None:
     world = World((), _SIX)
     own = _answers(world, 1, 'k')
     for _ in range(6):
@@ -236,9 +236,9 @@
     assert own not in _answers(world, 2, 'k')
 
 
-def test_first_executions_of_keys_make_no_upstream_slow() -> None:
-    # A fresh service executes every key cold once; taken for slowness, that
-    # sends keys to upstreams where they are cold once more.
+def test_first_executions_of_keys_do_not_count_as_slowness() -> None:
+    # A new service executes every key cold once.  If that counted as slowness,
+    # keys would move to upstreams where they are cold again.
     world = World((route(target_latency=0.4),), _SIX)
     cold = 0.6
     used = set()
@@ -252,9 +252,10 @@
         assert world.state.loads.of(name).slowness == 1
 
 
-def test_forgotten_keys_make_no_upstream_slow() -> None:
-    # An upstream that remembers few keys executes one anew that it has served
-    # a moment ago: that takes as long as a cold key, not as a slow upstream.
+def test_executions_of_evicted_keys_do_not_count_as_slowness() -> None:
+    # An upstream with a small cache may have evicted a key that it served a
+    # moment ago: the next execution takes as long as one with a cold key, which
+    # does not mean that the upstream is slow.
     world = World((route(target_latency=0.4),), _SIX)
     own = _answers(world, 1, 'k', gap=0.18)
     for taken in (0.18, 0.55, 0.55, 0.55, 0.55):
@@ -262,10 +263,10 @@
     assert world.state.loads.of(own).current_slowness(world.now) < 1.1
 
 
-def test_times_without_keys_are_learned() -> None:
+def test_execution_times_without_keys_are_measured() -> None:
     world = World((route(affinity=False, target_latency=0.4),), _SIX)
     _answers(world, 40, gap=0.3)
-    times = world.state.warm_keys.of(route(affinity=False), 'orders')
+    times = world.state.warm_keys.times_of(route(affinity=False), 'orders')
     assert times.warm.typical == pytest.approx(0.3, abs=0.02)
 
 
@@ -286,15 +287,15 @@
     assert 1 < count <= most
 
 
-def test_cold_upstream_of_another_region_gets_nothing() -> None:
+def test_cold_upstream_of_another_region_gets_no_requests() -> None:
     cold = upstream('1', cold_time=30, zone='b1')
     world = World((), (cold,), cold_rate=14)
     assert not world.sent(world.ask())
 
 
 def test_key_spills_to_one_other_upstream() -> None:
-    # Found on scale-1 of tally-ja: keys that spilled anywhere made all
-    # upstreams forget their own.
+    # Found in the scenario scale-1 of tally-ja: when keys spilled to any
+    # upstream, all upstreams evicted the keys whose home they were.
     world = World((), _SIX)
     used = set()
     for _ in range(8):
@@ -303,22 +304,23 @@
 
 
 @pytest.mark.parametrize(('elsewhere', 'stays'), [(0, False), (1, True)])
-def test_short_service_keeps_keys_at_their_upstream(
+def test_key_stays_at_its_upstream_while_slots_are_scarce(
     elsewhere: int, stays: bool
 ) -> None:
-    # Cold work takes several times the slot time: while slots are short
-    # everywhere, waiting a little at the warm upstream serves more.
+    # A cold execution occupies a slot several times as long as a warm one:
+    # while slots are scarce everywhere, queueing at the warm upstream serves
+    # more requests.
     world = World((), _SIX)
     own = _answers(world, 1, 'k')
     busy = {str(name): elsewhere for name in range(6)} | {own: 6}
     world.run(DigestReceived(world.now, digest('two', in_flight=busy)))
-    # It has come back after a refusal, so it may wait for its target.
+    # This is a retry after a refusal, so it may queue for its target latency.
     number = world.ask(key='k', time_left=1.7)
     assert (world.sent(number) == [own]) is stays
 
 
-def test_upstream_that_fails_a_part_loses_its_keys() -> None:
-    # Never three failures in a row, so it is not ejected.
+def test_upstream_that_fails_some_requests_loses_its_keys() -> None:
+    # There are never three consecutive failures, so it is not ejected.
     world = World((), (upstream('1'), upstream('2')))
     bad = world.sent(world.ask(key='k'))[0]
     world.end(world.requests)
@@ -334,7 +336,7 @@
     assert chosen != bad
 
 
-def test_one_failure_moves_no_key() -> None:
+def test_single_failure_moves_no_key() -> None:
     world = World((), (upstream('1'), upstream('2')))
     home = world.sent(world.ask(key='k'))[0]
     world.end(world.requests, status=500)
@@ -351,14 +353,14 @@
     assert _answers(world, 1, 'k') == other
 
 
-def test_one_rejection_moves_no_key_to_where_it_is_cold() -> None:
+def test_single_rejection_moves_no_key() -> None:
     world = World((route(max_attempts=1),), (upstream('1'), upstream('2')))
     home = world.sent(world.ask(key='k'))[0]
     world.end(world.requests, AttemptOutcome.NOT_EXECUTED)
     assert _answers(world, 4, 'k', gap=0.2) == home * 4
 
 
-def test_keys_return_to_an_upstream_that_has_ceased_to_reject() -> None:
+def test_keys_return_to_an_upstream_that_no_longer_rejects() -> None:
     world = World((route(max_attempts=1),), (upstream('1'), upstream('2')))
     home = _answers(world, 1, 'k', gap=0.18)
     moved = False
@@ -372,7 +374,7 @@
     assert _answers(world, 4, 'k', gap=0.2) == home * 4
 
 
-def test_keys_go_to_no_strangers_while_all_upstreams_reject() -> None:
+def test_keys_stay_at_their_homes_while_all_upstreams_reject() -> None:
     world = World((route(max_attempts=1),), _SIX)
     used = set()
     for _ in range(60):
--- a/tests/steering/test_choice_against_naive.py
+++ b/tests/steering/test_choice_against_naive.py
@@ -1,4 +1,4 @@
-"""The choice of an upstream against weighing every one."""
+"""Compares the choice of an upstream with an exhaustive evaluation."""
 
 from typing import Any
 
@@ -50,8 +50,11 @@
         load = world.state.loads.of(f'u{number}')
         load.own, load.others = one['own'], one['others']
         load.slowness, load.slowness_at = one['slowness'], world.now
-        load.failing, load.failing_at = one['failing'], world.now
-        load.rejecting, load.rejecting_at = one['rejecting'], world.now
+        load.failure_rate, load.failure_rate_at = one['failing'], world.now
+        load.rejection_rate, load.rejection_rate_at = (
+            one['rejecting'],
+            world.now,
+        )
         load.unanswered_since = world.now
         load.ejected_until = world.now + 9 if one['ejected'] else 0
         if one['limit'] is not None:
@@ -60,13 +63,13 @@
     return world
 
 
-def _least_of_all(scale: choosing._Scale) -> Choice | None:
-    """The best when each upstream is weighed to the end."""
-    usable = scale.state.catalog.services.get(scale.request.service, [])
+def _exhaustive_best(model: choosing._CostModel) -> Choice | None:
+    """Return the best choice after fully evaluating each upstream."""
+    usable = model.state.catalog.services.get(model.request.service, [])
     for ejected in (False, True):
-        candidates = choosing._candidates(scale, usable, ejected=ejected)
-        weighed = [scale.weigh(upstream) for upstream in candidates]
-        best = min(filter(None, weighed), key=_cost_of, default=None)
+        candidates = choosing._candidates(model, usable, ejected=ejected)
+        choices = [model.evaluate(upstream) for upstream in candidates]
+        best = min(filter(None, choices), key=_cost_of, default=None)
         if best:
             return best
     return None
@@ -77,7 +80,7 @@
 
 
 @given(_UPSTREAMS, _KINDS, st.sampled_from(['', 'k', 'other']))
-def test_choice_is_the_same_as_when_every_upstream_is_weighed(
+def test_choice_equals_that_of_an_exhaustive_evaluation(
     described: list[dict[str, Any]], kind: RouteKind, key: str
 ) -> None:
     world = _world(described, kind)
@@ -85,73 +88,74 @@
     if number not in world.state.requests:
         return
     request = world.state.requests[number]
-    # What the request itself has changed is taken back.
+    # Undo the changes that the request itself has made.
     world.state.loads.of(request.upstream).own -= 1
     world.state.rates.cold.last_sent.clear()
     chosen = choose(world.state, request, world.now)
-    scale = choosing._Scale.from_request(world.state, request, world.now)
-    naive = _least_of_all(scale)
+    model = choosing._CostModel.from_request(world.state, request, world.now)
+    naive = _exhaustive_best(model)
     if naive is None:
         assert not isinstance(chosen, Choice)
         return
-    least = choosing.patience(request, naive.work, world.now)
+    longest = choosing.max_wait(request, naive.latency, world.now)
     if not isinstance(chosen, Choice):
-        assert naive.wait > least
+        assert naive.wait > longest
     elif chosen.cost != naive.cost:
-        # The best has too long a queue: the other home of the key has none.
-        assert naive.wait > least
-        assert chosen.upstream.name in scale.homes
+        # The queue of the best upstream is too long; another home of the key
+        # has a shorter one.
+        assert naive.wait > longest
+        assert chosen.upstream.name in model.homes
         assert chosen.wait < naive.wait
 
 
 @given(_UPSTREAMS, _KINDS, st.sampled_from(['', 'k', 'other']))
-def test_best_of_all_is_the_first_of_least_cost(
+def test_best_of_all_is_the_first_with_the_least_cost(
     described: list[dict[str, Any]], kind: RouteKind, key: str
 ) -> None:
-    scale = _scale(described, kind, key)
-    best = choosing._best_of_all(scale)
-    limited = scale.limited.copy()
-    scale.limited.clear()
-    assert best == _least_of_all(scale)
-    assert limited == scale.limited
+    model = _scale(described, kind, key)
+    best = choosing._best_of_all(model)
+    limited = model.limited.copy()
+    model.limited.clear()
+    assert best == _exhaustive_best(model)
+    assert limited == model.limited
 
 
 @given(_UPSTREAMS, _KINDS, st.sampled_from(['', 'k']), st.floats(0, 20))
-def test_upstream_is_left_out_only_if_it_costs_no_less(
+def test_evaluation_ends_early_only_if_the_cost_is_not_less(
     described: list[dict[str, Any]], kind: RouteKind, key: str, least: float
 ) -> None:
-    scale = _scale(described, kind, key)
-    for one in scale.state.catalog.usable('orders'):
-        whole = scale.weigh(one)
+    model = _scale(described, kind, key)
+    for one in model.state.catalog.usable('orders'):
+        whole = model.evaluate(one)
         assert whole is not None
         for bound in (least, whole.cost):
             expected = whole if whole.cost < bound else None
-            assert scale.weigh(one, bound) == expected
+            assert model.evaluate(one, bound) == expected
 
 
 @given(_UPSTREAMS, st.booleans())
-def test_upstreams_without_limits_are_allowed_as_with_them(
+def test_shortcut_without_limits_allows_the_same_upstreams(
     described: list[dict[str, Any]], yields: bool
 ) -> None:
     unlimited = [one | {'limit': None} for one in described]
-    scale = _scale(unlimited, RouteKind.IDEMPOTENT, '')
-    scale.yields = yields
+    model = _scale(unlimited, RouteKind.IDEMPOTENT, '')
+    model.yields = yields
     found = []
-    for scale.has_limits in (False, True):
-        scale.limited.clear()
-        usable = scale.state.catalog.usable('orders')
-        allowed = [scale.allows(one) for one in usable]
-        found.append((allowed, scale.limited.copy()))
+    for model.has_limits in (False, True):
+        model.limited.clear()
+        usable = model.state.catalog.usable('orders')
+        allowed = [model.allows(one) for one in usable]
+        found.append((allowed, model.limited.copy()))
     assert found[0] == found[1]
 
 
 def _scale(
     described: list[dict[str, Any]], kind: RouteKind, key: str
-) -> choosing._Scale:
-    """What a fresh request is weighed by."""
+) -> choosing._CostModel:
+    """Create the cost model of a new request."""
     world = _world(described, kind)
     head = SteeredHead('t', HOST, 'GET', '/read/x', 20.0, key)
     request = SteeredRequest(
         1, head, route(kind=kind), 'orders', world.now, world.now + 20
     )
-    return choosing._Scale.from_request(world.state, request, world.now)
+    return choosing._CostModel.from_request(world.state, request, world.now)
--- a/tests/steering/test_crashing_requests.py
+++ b/tests/steering/test_crashing_requests.py
@@ -1,8 +1,8 @@
-"""Requests under which each upstream crashes that begins them."""
+"""Requests that crash every upstream that starts to execute them."""
 
 import pytest
 
-from tests.steering.crashing_world import Away, CrashingWorld, Faults
+from tests.steering.crashing_world import CrashingWorld, Faults, WhileDown
 from tests.steering.world import World, of_type, route, upstream
 from worksrail.core.quarantine import AdvertisedCrashes
 from worksrail.core.results import ResultCode
@@ -13,20 +13,20 @@
 _FAULTY = '/read/faulty'
 _ZONES = ('a1', 'a2', 'b1', 'b2', 'c1', 'c2')
 _REGIONS = {zone: zone[0] for zone in _ZONES}
-# Upstreams after which a request is known to crash them.
-_PROOFS = 3
-# Seconds after the last proof from which few more may get the request, and how
-# many may, as the operators set it.
+# Crashes after which a request is held.
+_CRASHES_UNTIL_HELD = 3
+# The operators allow at most this many further sends of the request from so
+# many seconds after the last of these crashes.
 _STABLE_WINDOW = 4.0
-_MOST_AFTER = 3
+_MAX_SENDS_AFTER = 3
 
-# Share of the requests beside a crashing one that may be held for a while.
-_MOST_HELD = 0.05
+# Maximum share of sound requests that may be held in the first seconds.
+_MAX_HELD = 0.05
 # The same once entries know which requests crash upstreams.
-_FEW_HELD = 0.005
+_MAX_HELD_LATER = 0.005
 _NINE = {'a1': 2, 'a2': 1, 'b1': 2, 'b2': 1, 'c1': 2, 'c2': 1}
 
-# Entries in each zone, share of the datagrams that are lost, seed.
+# Entries in each zone, share of lost datagrams, seed.
 _FLEETS = (
     ({'a1': 3}, 0.0, 1),
     ({'a1': 1, 'b1': 1, 'c1': 1}, 0.1, 2),
@@ -53,9 +53,9 @@
     )
 
 
-def _sent_after_proof(world: CrashingWorld) -> int:
-    proved_at = world.crashes[_PROOFS - 1][0]
-    return len(world.reached(_FAULTY, proved_at + _STABLE_WINDOW))
+def _sends_after_detection(world: CrashingWorld) -> int:
+    detected_at = world.crashes[_CRASHES_UNTIL_HELD - 1][0]
+    return len(world.reached(_FAULTY, detected_at + _STABLE_WINDOW))
 
 
 @pytest.mark.parametrize(('zones', 'loss', 'seed'), _FLEETS)
@@ -67,11 +67,11 @@
     world = _world(zones, loss, seed)
     world.ask(_FAULTY, faulty=True)
     world.wait(20)
-    assert _sent_after_proof(world) <= _MOST_AFTER
+    assert _sends_after_detection(world) <= _MAX_SENDS_AFTER
 
 
 @pytest.mark.parametrize('seed', [1, 2, 3])
-def test_restarted_entries_do_not_try_a_crashing_request_anew(
+def test_restarted_entries_do_not_send_a_crashing_request_again(
     seed: int,
 ) -> None:
     world = _world(_NINE, 0.1, seed)
@@ -80,13 +80,13 @@
     for name in sorted(world.states):
         world.start(name)
         world.wait(1.5)
-    assert _sent_after_proof(world) <= _MOST_AFTER
+    assert _sends_after_detection(world) <= _MAX_SENDS_AFTER
 
 
-# Share of answers that are lost.
+# ``lost`` is the share of lost answers.
 @pytest.mark.parametrize('lost', [0, 0.05])
 @pytest.mark.parametrize('seed', [1, 2])
-def test_requests_beside_a_crashing_one_are_not_held(
+def test_sound_requests_are_not_held(
     lost: float,
     seed: int,
 ) -> None:
@@ -100,7 +100,7 @@
 
 @pytest.mark.parametrize('paths', [1, 5, 20])
 @pytest.mark.parametrize('seed', [1, 2])
-def test_popular_requests_beside_a_crashing_one_are_soon_let_go(
+def test_popular_sound_requests_are_soon_released(
     paths: int,
     seed: int,
 ) -> None:
@@ -109,13 +109,15 @@
     world.ask(_FAULTY, faulty=True)
     world.wait(6)
     held = world.codes[ResultCode.REQUEST_HELD.name]
-    assert held <= world.codes[ResultCode.OK.name] * _MOST_HELD
+    assert held <= world.codes[ResultCode.OK.name] * _MAX_HELD
     world.wait(5)
     assert world.codes[ResultCode.REQUEST_HELD.name] == held
 
 
 @pytest.mark.parametrize('seed', [1, 2])
-def test_popular_request_that_breaks_with_a_zone_is_not_held(seed: int) -> None:
+def test_popular_request_is_not_held_after_simultaneous_crashes(
+    seed: int,
+) -> None:
     world = _world(_NINE, 0.1, seed, rate=60)
     world.paths = 1
     world.wait(3)
@@ -125,15 +127,15 @@
     assert not world.codes[ResultCode.REQUEST_HELD.name]
 
 
-@pytest.mark.parametrize('away', list(Away))
+@pytest.mark.parametrize('while_down', list(WhileDown))
 @pytest.mark.parametrize('seed', [1, 2, 3])
-def test_requests_that_meet_upstreams_which_crashed_are_not_held(
-    away: Away,
+def test_requests_sent_to_upstreams_that_are_down_are_not_held(
+    while_down: WhileDown,
     seed: int,
 ) -> None:
     world = _world(_NINE, 0.1, seed, rate=120)
     world.paths = 40
-    world.faults.away = away
+    world.faults.while_down = while_down
     for number in range(3):
         world.ask(f'{_FAULTY}-{number}', faulty=True)
     world.faults.crashing = frozenset(
@@ -143,12 +145,14 @@
     before = world.codes.copy()
     world.wait(8)
     later = world.codes - before
-    assert later[ResultCode.REQUEST_HELD.name] <= _FEW_HELD * later.total()
-    assert before[ResultCode.REQUEST_HELD.name] <= _MOST_HELD * before.total()
+    assert (
+        later[ResultCode.REQUEST_HELD.name] <= _MAX_HELD_LATER * later.total()
+    )
+    assert before[ResultCode.REQUEST_HELD.name] <= _MAX_HELD * before.total()
 
 
 @pytest.mark.parametrize('seed', [1, 2, 3])
-def test_answer_lets_a_request_go_at_all_entries_within_a_second(
+def test_answer_releases_a_request_at_all_entries_within_a_second(
     seed: int,
 ) -> None:
     world = _world(_NINE, 0.1, seed, rate=0)
@@ -156,7 +160,7 @@
     for name in sorted(world.states):
         for one in fingerprints:
             world.states[name].quarantine.receive(
-                AdvertisedCrashes(one, _PROOFS, 0, one), world.now
+                AdvertisedCrashes(one, _CRASHES_UNTIL_HELD, 0, one), world.now
             )
     world.wait(0.3)
     first = world.states['b2-0'].quarantine
@@ -174,7 +178,7 @@
     assert not sum(held.values()), held
 
 
-def test_caller_of_a_held_request_is_told_when_it_is_tried_again() -> None:
+def test_refusal_of_a_held_request_gives_the_time_of_the_next_trial() -> None:
     world = _world({'a1': 1}, 0, 1, rate=0)
     world.ask(_FAULTY, faulty=True)
     world.wait(10)
@@ -187,7 +191,7 @@
     assert max(waits) > 29
 
 
-def test_held_request_is_tried_once_by_the_whole_fleet() -> None:
+def test_only_one_entry_of_the_fleet_tries_a_held_request() -> None:
     world = _world(_NINE, 0.1, 1, rate=0)
     world.ask(_FAULTY, faulty=True)
     world.wait(8)
@@ -196,27 +200,30 @@
     assert len(world.crashes) == before + 1
 
 
-def test_zone_that_is_cut_off_pays_for_its_own_knowledge_only() -> None:
+def test_isolated_zone_adds_only_the_crashes_that_it_needs_itself() -> None:
     zones = {'a1': 2, 'b1': 2, 'c1': 2}
     world = _world(zones, 0, 1)
     world.cut_off = {'a1-0', 'a1-1'}
     world.ask(_FAULTY, faulty=True)
     world.wait(10)
     after = world.reached(_FAULTY, world.crashes[2][0] + _STABLE_WINDOW)
-    in_touch = [one for one in after if one.entry not in world.cut_off]
-    assert len(in_touch) <= _MOST_AFTER
-    assert len(after) <= _MOST_AFTER + len(world.cut_off) * _PROOFS
+    connected = [one for one in after if one.entry not in world.cut_off]
+    assert len(connected) <= _MAX_SENDS_AFTER
+    assert (
+        len(after)
+        <= _MAX_SENDS_AFTER + len(world.cut_off) * _CRASHES_UNTIL_HELD
+    )
 
 
-def test_held_request_costs_no_repeat_of_the_budget() -> None:
+def test_held_request_uses_no_repeat_of_the_budget() -> None:
     upstreams = [upstream(str(number)) for number in range(6)]
     world = World((route('read', max_attempts=6),), upstreams)
     number = world.ask()
     while number in world.state.requests:
         world.end(number, AttemptOutcome.BROKE_BEFORE_ANSWER)
-    assert len(world.sent(number)) == _PROOFS
+    assert len(world.sent(number)) == _CRASHES_UNTIL_HELD
     budget = world.state.budgets.budgets['orders']
-    assert budget.retries.total(world.now) == _PROOFS - 1
+    assert budget.retries.total(world.now) == _CRASHES_UNTIL_HELD - 1
     (answer,) = of_type(world.effects, AnswerResult)
     assert answer.code is ResultCode.UPSTREAM_BROKE
 
@@ -225,9 +232,9 @@
     world = _world(dict.fromkeys(_ZONES, 4), 0, 1, rate=0)
     world.ask(_FAULTY, faulty=True)
     world.wait(8)
-    told = [
+    counts = [
         len(digest.crashes)
         for _, digest in world.collect_digests(2)
         if not isinstance(digest, ZoneDigest)
     ]
-    assert 0 < sum(told) <= len(told) / 4
+    assert 0 < sum(counts) <= len(counts) / 4
--- a/tests/steering/test_customers.py
+++ b/tests/steering/test_customers.py
@@ -1,4 +1,4 @@
-"""Customers: keys, regions, priorities, quotas and their changes."""
+"""Customers: keys, regions, priorities, quotas, and changes of them."""
 
 from typing import Any
 
@@ -59,8 +59,8 @@
 
 
 def _world(*customers: Customer, **options: Any) -> World:
-    named = customers or _CUSTOMERS
-    return World(_ROUTES, _UPSTREAMS, customers=named, **options)
+    chosen = customers or _CUSTOMERS
+    return World(_ROUTES, _UPSTREAMS, customers=chosen, **options)
 
 
 def _ask(world: World, name: str, key: str) -> int:
@@ -76,7 +76,7 @@
     ]
 
 
-def _named(world: World, number: int) -> list[str]:
+def _customers_of(world: World, number: int) -> list[str]:
     return [
         effect.customer
         for effect in of_type(world.effects, SendUpstream)
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize(
-    ('name', 'key', 'named'),
+    ('name', 'key', 'expected'),
     [
         ('read', 'old', 'acme'),
         ('read', 'new', 'acme'),
@@ -94,12 +94,12 @@
         ('open', 'old', 'acme'),
     ],
 )
-def test_request_is_sent_in_the_name_of_its_customer(
-    name: str, key: str, named: str
+def test_request_carries_the_name_of_its_customer(
+    name: str, key: str, expected: str
 ) -> None:
     world = _world()
     number = _ask(world, name, key)
-    assert _named(world, number) == [named]
+    assert _customers_of(world, number) == [expected]
 
 
 @pytest.mark.parametrize(
@@ -110,7 +110,7 @@
         ('home', 'h', ResultCode.NO_COMMON_REGION),
     ],
 )
-def test_request_that_may_not_be_served(
+def test_request_that_must_not_be_served_is_refused(
     name: str, key: str, code: ResultCode
 ) -> None:
     world = _world()
@@ -118,20 +118,20 @@
     world.state.watching = True
     number = _ask(world, name, key)
     assert _answers(world, number) == [code]
-    assert not _named(world, number)
+    assert not _customers_of(world, number)
     assert not world.state.requests
 
 
-def test_without_customers_nobody_needs_a_key() -> None:
+def test_without_customers_no_key_is_needed() -> None:
     world = World(_ROUTES, _UPSTREAMS)
-    assert _named(world, _ask(world, 'read', '')) == ['']
+    assert _customers_of(world, _ask(world, 'read', '')) == ['']
 
 
 @pytest.mark.parametrize(
     ('name', 'key', 'expected'),
     [('read', 'h', '1'), ('read', 't', '2'), ('home', 'old', '2')],
 )
-def test_regions_of_customer_and_route_bind(
+def test_request_stays_within_regions_of_customer_and_route(
     name: str, key: str, expected: str
 ) -> None:
     world = _world()
@@ -141,8 +141,8 @@
         world.end(number)
 
 
-def test_key_of_a_bound_customer_has_a_home_where_it_may_be_served() -> None:
-    # Without one it is cold at another upstream each time.
+def test_key_has_its_home_in_the_regions_of_its_customer() -> None:
+    # Without such a home it would be cold at a different upstream each time.
     upstreams = [
         upstream(str(number), zone='b1' if number < 4 else 'a1')
         for number in range(24)
@@ -158,28 +158,28 @@
         assert len(places) == 1
 
 
-def test_priority_of_a_customer_goes_before_its_route() -> None:
+def test_priority_of_a_customer_overrides_that_of_the_route() -> None:
     world = _world()
     numbers = [_ask(world, 'read', key) for key in ('old', 'h')]
-    ranks = [world.state.requests[number].priority for number in numbers]
-    assert ranks == [0, 1]
+    priorities = [world.state.requests[number].priority for number in numbers]
+    assert priorities == [0, 1]
 
 
-# -- changes
+# -- changes of the configuration
 
 
-def test_key_that_is_taken_away_is_refused_at_once() -> None:
+def test_revoked_key_is_refused_at_once() -> None:
     world = _world()
-    assert _named(world, _ask(world, 'read', 'old'))
+    assert _customers_of(world, _ask(world, 'read', 'old'))
     changed = configuration(2, _ROUTES, 0, [customer('acme', 'new')])
     world.run(ConfigurationRead(world.now, changed, 2))
     world.state.watching = True
     refused = _ask(world, 'read', 'old')
     assert _answers(world, refused) == [ResultCode.UNKNOWN_KEY]
-    assert _named(world, _ask(world, 'read', 'new')) == ['acme']
+    assert _customers_of(world, _ask(world, 'read', 'new')) == ['acme']
 
 
-def test_key_that_was_taken_away_never_comes_back_by_an_older_version() -> None:
+def test_older_version_does_not_restore_a_revoked_key() -> None:
     world = _world()
     without = configuration(3, _ROUTES, 0, [customer('acme', 'new')])
     world.run(ConfigurationRead(world.now, without, 3))
@@ -195,25 +195,27 @@
     world.run(StoreLost(world.now, StoreKind.CONFIGURATION, 'silent'))
 
 
-def _hear(world: World, **changes: Any) -> None:
-    told = contact('two', **changes)
-    world.run(DigestReceived(world.now, EntryDigest(told, 1, {}, ())))
+def _receive_digest(world: World, **changes: Any) -> None:
+    sender = contact('two', **changes)
+    world.run(DigestReceived(world.now, EntryDigest(sender, 1, {}, ())))
 
 
 def _fall_behind(world: World) -> None:
-    _hear(world, revisions=(9, 9, 9))
+    _receive_digest(world, revisions=(9, 9, 9))
     world.wait(0.2)
 
 
-def _hear_one_that_lost_it_too(world: World) -> None:
+def _lose_the_store_at_both(world: World) -> None:
     _lose_the_store(world)
-    _hear(world, store_lost=True)
+    _receive_digest(world, store_lost=True)
 
 
 @pytest.mark.parametrize(
-    'happens', [_lose_the_store, _fall_behind, _hear_one_that_lost_it_too]
+    'happens', [_lose_the_store, _fall_behind, _lose_the_store_at_both]
 )
-def test_entry_that_may_be_behind_calls_no_key_unknown(happens: Any) -> None:
+def test_entry_that_may_be_stale_refuses_no_key_as_unknown(
+    happens: Any,
+) -> None:
     world = _world()
     happens(world)
     number = _ask(world, 'read', 'added-just-now')
@@ -224,47 +226,47 @@
     ]
     assert answer.code is ResultCode.KEY_UNCERTAIN
     assert answer.retry_after > 0
-    # Without any key there is nothing to be uncertain of.
+    # A request without any key is refused as such in any case.
     none = _ask(world, 'read', '')
     assert _answers(world, none) == [ResultCode.UNKNOWN_KEY]
 
 
-def test_entry_that_lives_beside_one_that_reads_is_up_to_date() -> None:
+def test_entry_in_contact_with_one_that_reads_the_store_is_current() -> None:
     world = _world()
     _lose_the_store(world)
-    _hear(world)
+    _receive_digest(world)
     number = _ask(world, 'read', 'wrong')
     assert _answers(world, number) == [ResultCode.UNKNOWN_KEY]
 
 
-def test_fresh_entry_calls_no_key_unknown() -> None:
+def test_new_entry_refuses_no_key_as_unknown() -> None:
     world = _world(settle=0.1)
     number = _ask(world, 'read', 'wrong')
     assert _answers(world, number) == [ResultCode.KEY_UNCERTAIN]
 
 
-def test_customers_go_from_entry_to_entry() -> None:
+def test_customers_survive_encoding_for_other_entries() -> None:
     world = _world()
-    told = store_update_since(
+    update = store_update_since(
         world.state, StoreKind.CONFIGURATION, 0, world.now
     )
-    payload = msgspec.msgpack.encode(told)
-    assert msgspec.msgpack.decode(payload, type=StoreUpdate) == told
+    payload = msgspec.msgpack.encode(update)
+    assert msgspec.msgpack.decode(payload, type=StoreUpdate) == update
 
 
-def test_decisions_tell_no_key() -> None:
+def test_decisions_reveal_no_key() -> None:
     world = _world()
     for key in ('old', 'wrong', 's', 's', 's', 's', 's', 's'):
         _ask(world, 'read', key)
-    told = repr(of_type(world.effects, Decision))
+    text = repr(of_type(world.effects, Decision))
     for key in ('old', 'new', 'wrong'):
-        assert digest_of_key(key.encode()) not in told
+        assert digest_of_key(key.encode()) not in text
 
 
 # -- quotas
 
 
-def test_quota_is_refused_with_the_time_of_the_next_token() -> None:
+def test_refusal_by_quota_gives_the_time_of_the_next_token() -> None:
     world = _world(settle=3)
     numbers = [_ask(world, 'read', 's') for _ in range(6)]
     refused = [
@@ -276,34 +278,34 @@
     assert all(0.4 < effect.retry_after < 2.1 for effect in refused)
     assert refused[0].retry_after < refused[-1].retry_after
     world.wait(0.6)
-    assert _named(world, _ask(world, 'read', 's')) == ['small']
+    assert _customers_of(world, _ask(world, 'read', 's')) == ['small']
 
 
-def test_other_customers_do_not_feel_it() -> None:
+def test_quota_does_not_affect_other_customers() -> None:
     world = _world()
     for _ in range(6):
         _ask(world, 'read', 's')
     assert not world.state.limits.accounts.get('quota here')
-    assert _named(world, _ask(world, 'read', 'h')) == ['here']
+    assert _customers_of(world, _ask(world, 'read', 'h')) == ['here']
 
 
-def test_request_that_was_not_executed_does_not_count() -> None:
+def test_request_that_was_not_executed_does_not_use_the_quota() -> None:
     world = _world(customer('small', 's', quota=Quota(1, 2)), settle=3)
     for _ in range(5):
         number = _ask(world, 'read', 's')
         while number in world.state.requests:
             world.end(number, AttemptOutcome.NOT_EXECUTED)
-    assert _named(world, _ask(world, 'read', 's')) == ['small']
+    assert _customers_of(world, _ask(world, 'read', 's')) == ['small']
 
 
-def test_quota_that_is_lowered_binds_at_once() -> None:
+def test_lowered_quota_applies_at_once() -> None:
     world = _world(customer('small', 's', quota=Quota(100, 100)))
-    assert _named(world, _ask(world, 'read', 's'))
+    assert _customers_of(world, _ask(world, 'read', 's'))
     lower = [customer('small', 's', quota=Quota(1, 1))]
     changed = configuration(2, _ROUTES, 0, lower)
     world.run(ConfigurationRead(world.now, changed, 2))
     numbers = [_ask(world, 'read', 's') for _ in range(4)]
-    served = [number for number in numbers if _named(world, number)]
+    served = [number for number in numbers if _customers_of(world, number)]
     assert len(served) == 1
 
 
@@ -311,7 +313,7 @@
     ('overage', 'slack', 'capacity'),
     [(0, 0, 10), (0.1, 20, 10 + 0.2 * (0.1 * 60 + 20)), (0.5, 0, 16)],
 )
-def test_part_of_what_is_tolerated_is_given_to_callers(
+def test_limit_includes_a_part_of_the_tolerated_overage(
     overage: float, slack: float, capacity: float
 ) -> None:
     bounds = QuotaBounds(5, overage, slack)
@@ -319,12 +321,12 @@
     assert (limit.rate, limit.capacity) == (10, pytest.approx(capacity))
 
 
-def _waiting() -> tuple[World, int, int]:
-    """A request whose quota another entry owns and is asked for."""
+def _awaiting_admission() -> tuple[World, int, int]:
+    """Create a request that waits for the owner of its quota, a peer."""
     names = iter(f'c{number}' for number in range(100))
     for name in names:
         world = _world(customer(name, 'k', quota=Quota(5, 5)))
-        _hear(world)
+        _receive_digest(world)
         world.wait(0.2)
         if world.state.limits.owners.owner_of(f'quota {name}') == 'two':
             break
@@ -338,34 +340,34 @@
 
 @pytest.mark.parametrize('granted', [0, 1])
 def test_request_waits_for_the_owner_of_its_quota(granted: int) -> None:
-    world, number, report = _waiting()
-    assert not _named(world, number)
+    world, number, report = _awaiting_admission()
+    assert not _customers_of(world, number)
     name = world.state.requests[number].customer_name
     standing = LimitStatus(granted, False, 0.5)
     reply = LimitReply(report, {f'quota {name}': standing})
     world.run(LimitMessageReceived(world.now, reply))
-    assert _named(world, number) == [name] * granted
+    assert _customers_of(world, number) == [name] * granted
     refused = [ResultCode.QUOTA_REACHED] * (1 - granted)
     assert _answers(world, number) == refused
 
 
-def test_caller_that_leaves_while_its_quota_is_asked_for() -> None:
-    world, number, report = _waiting()
+def test_caller_disconnects_while_the_owner_of_its_quota_is_asked() -> None:
+    world, number, report = _awaiting_admission()
     name = world.state.requests[number].customer_name
     world.run(CallerGone(world.now, number))
     standing = LimitStatus(1, False, 0)
     reply = LimitReply(report, {f'quota {name}': standing})
     world.run(LimitMessageReceived(world.now, reply))
-    assert not _named(world, number)
+    assert not _customers_of(world, number)
     assert not world.state.requests
-    # The exchange with the caller ends, and its token is given back.
+    # The request is answered once, and its token is returned.
     assert len(_answers(world, number)) == 1
     assert world.state.limits.accounts[f'quota {name}'].used == -1
 
 
-def test_nobody_is_told_of_limits_where_there_are_none() -> None:
+def test_no_limit_messages_are_sent_without_limits() -> None:
     world = World(_ROUTES, _UPSTREAMS)
-    _hear(world)
+    _receive_digest(world)
     _ask(world, 'read', '')
     world.wait(1)
     assert not of_type(world.effects, SendLimitMessage)
--- a/tests/steering/test_nearness.py
+++ b/tests/steering/test_nearness.py
@@ -1,4 +1,4 @@
-"""Where keys are at home: near their callers, as far as there is room."""
+"""Home regions of keys: near their callers as far as slots allow."""
 
 from collections import Counter
 from dataclasses import replace
@@ -21,7 +21,7 @@
 from worksrail.core.identity import Incarnation
 from worksrail.core.steering import KeySketch, SteeringState, reduce
 from worksrail.core.steering._key_overlap import KeyOverlap
-from worksrail.core.steering._region_shares import spread
+from worksrail.core.steering._region_shares import home_shares
 from worksrail.core.steering.effects import SendDigest, SendUpstream
 from worksrail.core.steering.events import (
     AttemptEnded,
@@ -38,12 +38,12 @@
 
 _EVEN = {'a': 1 / 3, 'b': 1 / 3, 'c': 1 / 3}
 _REGIONS = {'a1': 'a', 'b1': 'b', 'c1': 'c'}
-# Seconds from a request to its answer.
+# Seconds of an execution.
 _EXECUTION = 0.1
 
 
 @pytest.mark.parametrize(
-    ('demand', 'room', 'origin', 'expected'),
+    ('demand', 'capacity', 'origin', 'expected'),
     [
         (_EVEN, _EVEN, 'a', {'a': 1}),
         (_EVEN, {'a': 0.1, 'b': 0.4, 'c': 0.5}, 'b', {'b': 1}),
@@ -57,31 +57,40 @@
         ({'a': 1}, {'a': 0.25, 'b': 0.75}, 'a', {'a': 0.25, 'b': 0.75}),
         ({'a': 0, 'b': 1}, {'a': 0.5, 'b': 0.5}, 'a', {'a': 1}),
     ],
-    ids=['even', 'room', 'short', 'none of its own', 'all ask here', 'quiet'],
+    ids=[
+        'even',
+        'enough slots',
+        'too few slots',
+        'no slots',
+        'all demand',
+        'no demand',
+    ],
 )
-def test_keys_stay_as_far_as_there_is_room(
+def test_keys_stay_in_their_region_as_far_as_slots_allow(
     demand: dict[str, float],
-    room: dict[str, float],
+    capacity: dict[str, float],
     origin: str,
     expected: dict[str, float],
 ) -> None:
-    found = spread(demand, room, origin)
+    found = home_shares(demand, capacity, origin)
     assert found == pytest.approx(expected)
     assert sum(found.values()) == pytest.approx(1)
 
 
 @pytest.mark.parametrize('shares', [(0.1, 0.4, 0.5), (0.3, 0.3, 0.4)])
-def test_regions_are_used_alike(shares: tuple[float, float, float]) -> None:
-    room = dict(zip('abc', shares, strict=True))
+def test_regions_have_the_same_utilization(
+    shares: tuple[float, float, float],
+) -> None:
+    capacity = dict(zip('abc', shares, strict=True))
     load: Counter[str] = Counter()
     for origin, asked in _EVEN.items():
-        for region, share in spread(_EVEN, room, origin).items():
+        for region, share in home_shares(_EVEN, capacity, origin).items():
             load[region] += asked * share
-    assert dict(load) == pytest.approx(room)
+    assert dict(load) == pytest.approx(capacity)
 
 
 class _Region:
-    """One entry of a region, and what its callers get."""
+    """One entry of a region and the upstreams that its requests reach."""
 
     def __init__(self, zone: str, slots: dict[str, int]) -> None:
         given = replace(
@@ -112,19 +121,19 @@
         self.ticks = 0
 
     def tick(self, seconds: float) -> None:
-        """Let time pass; the other regions have as many requests."""
+        """Advance time; the other regions advertise the same request rate."""
         self.now += seconds
         self.ticks += 1
         rate = self.state.arrivals.rate(self.now)
         for zone, region in _REGIONS.items():
             if zone != self.state.settings.zone:
                 member = contact(zone, zone=zone, region=region, rate=rate)
-                told = zone_digest(zone, [member], self.ticks)
-                reduce(self.state, DigestReceived(self.now, told))
+                received = zone_digest(zone, [member], self.ticks)
+                reduce(self.state, DigestReceived(self.now, received))
         reduce(self.state, Ticked(self.now))
 
     def ask(self, key: str) -> str:
-        """Zone of the upstream that a request goes to, once answered."""
+        """Send a request, answer it, and return the zone of its upstream."""
         self.requests += 1
         head = SteeredHead(
             f't{self.requests}', 'orders.example', 'GET', '/read/x', 2.0, key
@@ -147,7 +156,7 @@
         return self.zones[sent.upstream]
 
     def homes(self, count: int = 400) -> dict[str, str]:
-        """Upstreams that some keys belong to."""
+        """Return the primary home of some keys."""
         state = self.state
         homes = {
             key: state.affinity.homes_of(
@@ -159,16 +168,18 @@
             )
             for key in map(str, range(count))
         }
-        return {key: named[0] for key, named in homes.items()}
+        return {key: names[0] for key, names in homes.items()}
 
 
-# Upstreams of three slots by zone: a tenth of them where a third asks.
+# Upstreams of three slots by zone: zone a1 has a tenth of the slots and a third
+# of the requests.
 _UNEVEN = {'a1': 2, 'b1': 8, 'c1': 10}
 
 
-def test_callers_are_served_near_them() -> None:
-    # By slots alone a third of the requests stays in its region; here all of
-    # two regions do, and of the third what its tenth of the slots carries.
+def test_callers_are_served_in_their_region() -> None:
+    # If homes followed slots alone, a third of the requests would stay in their
+    # region.  Here all requests of two regions do, and as many of the third
+    # region as its tenth of the slots can serve.
     served: Counter[str] = Counter()
     near = 0
     for zone in _REGIONS:
@@ -196,8 +207,8 @@
     return changed / len(before)
 
 
-def test_homes_move_slowly_when_demand_moves() -> None:
-    # Within two seconds a region may move 0.15 of its requests at the most.
+def test_homes_move_gradually_when_demand_changes() -> None:
+    # A region may move at most 0.15 of its requests within two seconds.
     entry = _Region('a1', _UNEVEN)
     before = entry.homes()
     entry.state.region_shares.demand = {'a': 0.05, 'b': 0.05, 'c': 0.9}
@@ -214,14 +225,14 @@
     assert {home[0] for home in before.values()} == {'a'}
 
 
-def test_region_without_upstreams_is_served_by_the_others() -> None:
+def test_region_without_upstreams_is_served_by_other_regions() -> None:
     entry = _Region('b1', _UNEVEN)
     assert {home[0] for home in entry.homes().values()} == {'b'}
     gone = tuple(name for name in entry.zones if name.startswith('b1'))
     reduce(entry.state, UpstreamsChanged(entry.now, (), gone))
     homes = Counter(home[0] for home in entry.homes().values())
     assert set(homes) == {'a', 'c'}
-    # By their slots, two to ten.
+    # In proportion to their slots, which are two to ten.
     assert homes['c'] / homes['a'] > 3
 
 
@@ -257,9 +268,9 @@
         (range(100, 300), True),
         (range(198, 400), False),
     ],
-    ids=['others', 'the same', 'half the same', 'a few the same'],
+    ids=['disjoint', 'the same', 'half the same', 'a few the same'],
 )
-def test_regions_that_share_keys_are_noticed(
+def test_shared_keys_are_detected(
     far: range,
     shared: bool,
 ) -> None:
@@ -268,13 +279,13 @@
     assert not key_overlap.is_shared('stock', 'a', 2)
 
 
-def test_sketch_that_is_told_no_more_is_forgotten() -> None:
+def test_sketch_that_is_no_longer_advertised_expires() -> None:
     key_overlap = _sketches(range(200), range(200))
     assert not key_overlap.is_shared('orders', 'a', 40)
-    assert not key_overlap.told['orders']
+    assert not key_overlap.reported['orders']
 
 
-def test_shared_keys_come_to_one_home_for_all_regions() -> None:
+def test_shared_keys_get_the_same_home_in_all_regions() -> None:
     entry = _Region('a1', _UNEVEN)
     other = _Region('b1', _UNEVEN)
     assert entry.homes() != other.homes()
@@ -289,18 +300,18 @@
     assert entry.homes() == other.homes()
 
 
-def test_digests_carry_the_keys_of_a_zone() -> None:
+def test_sketches_are_taken_from_digests() -> None:
     world = World((route(),), (upstream('1'),))
-    told = KeySketch('orders', (1, 2, 3))
+    sketch = KeySketch('orders', (1, 2, 3))
     world.run(
         DigestReceived(
-            world.now, msgspec.structs.replace(digest('two'), keys=told)
+            world.now, msgspec.structs.replace(digest('two'), keys=sketch)
         ),
         DigestReceived(
             world.now,
             msgspec.structs.replace(
                 zone_digest('far', [contact('far', zone='b1', region='b')]),
-                keys=told,
+                keys=sketch,
             ),
         ),
     )
@@ -312,18 +323,18 @@
     assert world.state.key_overlap.is_shared('orders', 'a', world.now)
 
 
-def test_entry_tells_the_keys_that_it_sees() -> None:
+def test_entry_advertises_a_sketch_of_its_keys() -> None:
     world = World((route(),), (upstream('1', slots=50),))
     for number in range(20):
         world.ask(key=f'k{number}')
-    told = [
+    sent = [
         effect.digest.keys for effect in of_type(world.wait(2.5), SendDigest)
     ]
-    (keys,) = {one for one in told if one.service}
+    (keys,) = {one for one in sent if one.service}
     assert keys.service == 'orders'
     assert keys.hashes == world.state.key_overlap.sketch(
         'orders', [], world.now
     )
     assert len(keys.hashes) == 8
-    # Most digests are spared it: what regions share hardly changes.
-    assert sum(bool(one.service) for one in told) <= len(told) / 4
+    # Most digests carry no sketch, since the shared keys change slowly.
+    assert sum(bool(one.service) for one in sent) <= len(sent) / 4
--- a/worksrail/core/steering/_admitting.py
+++ b/worksrail/core/steering/_admitting.py
@@ -1,4 +1,4 @@
-"""Whether a customer's quota has room for a request."""
+"""Admits requests by the quotas of their customers."""
 
 from collections.abc import Iterator
 
@@ -27,14 +27,14 @@
     request: SteeredRequest,
     now: float,
 ) -> Iterator[Effect]:
-    """Place a request that its customer's quota has room for."""
+    """Place a request if the quota of its customer admits it."""
     if not isinstance(request.customer, Customer):
         yield from place(state, request, now)
         return
     name = quota_name(request.customer.name)
     verdict = state.limits.admit(name, request.number, now)
     if verdict.admission is not Admission.WAITING:
-        yield from _follow(state, request, verdict, now)
+        yield from _apply_verdict(state, request, verdict, now)
     yield from process_limit_outputs(state, now)
 
 
@@ -42,13 +42,13 @@
     state: SteeringState,
     event: LimitMessageReceived,
 ) -> Iterator[Effect]:
-    """Take in what another entry tells of a shared limit."""
+    """Handle a message of another entry on a shared limit."""
     state.limits.receive(event.message, event.now)
     yield from process_limit_outputs(state, event.now)
 
 
 def maintain_limits(state: SteeringState, now: float) -> Iterator[Effect]:
-    """Report what was admitted, and take in who lives."""
+    """Report admissions to the owners of limits, and update the members."""
     if not state.limits.limits:
         return
     if state.settled(now):
@@ -59,17 +59,17 @@
 
 
 def process_limit_outputs(state: SteeringState, now: float) -> Iterator[Effect]:
-    """Send what the limits have to tell, and go on with what waited."""
+    """Send the messages of the limits, and resume requests with a verdict."""
     for output in state.limits.take_outputs():
         if isinstance(output, Addressed):
             yield SendLimitMessage(output.peer, output.message)
             continue
         request = state.requests.get(output.ticket)
         if request:
-            yield from _follow(state, request, output.verdict, now)
+            yield from _apply_verdict(state, request, output.verdict, now)
 
 
-def _follow(
+def _apply_verdict(
     state: SteeringState,
     request: SteeredRequest,
     verdict: Verdict,
@@ -81,7 +81,7 @@
     elif request.admitted:
         yield from place(state, request, now)
     else:
-        pause = verdict.pause(state.rng)
+        delay = verdict.pause(state.rng)
         yield from refuse(
-            state, request, ResultCode.QUOTA_REACHED, now, pause=pause
+            state, request, ResultCode.QUOTA_REACHED, now, delay=delay
         )
--- a/worksrail/core/steering/_affinity.py
+++ b/worksrail/core/steering/_affinity.py
@@ -1,4 +1,4 @@
-"""Affinity: which upstreams a key belongs to, equal at a region's entries."""
+"""Maps affinity keys to home upstreams, alike at all entries of a region."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
@@ -11,37 +11,38 @@
 from worksrail.core.identity import RegionName, ServiceName
 from worksrail.core.steering._catalog import Catalog
 from worksrail.core.steering._region_shares import RegionShares, Shares
-from worksrail.core.steering._ring import HASHES, Probes, Ring, probes_of
+from worksrail.core.steering._ring import HASH_SPACE, Probes, Ring, probes_of
 
-# Upstreams of each key, its own included, that it spills to.  An upstream
-# remembers a limited number of keys: when keys spill anywhere, each is soon
-# cold everywhere.
-SPILL: Final = 2
-_CACHE_LIMIT: Final = 20_000
+# Home upstreams of each key: a primary one and one that it spills to.  An
+# upstream caches a limited number of keys: if keys spilled to any upstream,
+# each would soon be cold everywhere.
+HOMES_PER_KEY: Final = 2
+_MAX_CACHED_KEYS: Final = 20_000
 
 Regions = frozenset[RegionName]
 _ALL_REGIONS: Final[Regions] = frozenset()
 Homes = tuple[str, ...]
-"""The upstreams that a key belongs to, its own first, then those it spills to.
+"""Names of the home upstreams of a key: the primary one, then those that it
+spills to.
 
-The order of all the others decides nothing and is not kept: for 500 keys of
-395 upstreams it took 9.4 MB of an entry, this takes 0.9 MB (tracemalloc, what
-500 first requests leave behind)."""
+The order of the other upstreams is not needed and not kept: for 500 keys and
+395 upstreams it took 9.4 MB of memory, the homes alone take 0.9 MB (measured
+with tracemalloc after the first 500 requests)."""
 
 
 @dataclass(slots=True)
 class Affinity:
-    """Finds the homes of each key.
+    """Computes and caches the home upstreams of each key.
 
-    The entries of a region find the same, so that a key is warm at one
-    upstream for the callers of all of them, and spills to the same next one;
-    regions that share their keys find the same as well.  An upstream that comes
-    or goes only moves the keys that are its own.
+    All entries of a region compute the same homes, so that a key is warm at
+    the same upstreams whichever entry a caller uses; regions that share their
+    keys also compute the same.  Adding or removing an upstream moves only the
+    keys whose home it is.
     """
 
     generation: tuple[int, int] = (-1, -1)
-    """Generations of the catalog and of the shares of regions that the homes
-    were found with."""
+    """Generations of the catalog and of the region shares that the cached
+    homes were computed from."""
 
     homes: dict[tuple[ServiceName, str, Regions], Homes] = field(
         default_factory=dict
@@ -49,10 +50,11 @@
     """Homes by service, key, and the regions that may serve the request."""
 
     shares: dict[ServiceName, Shares] = field(default_factory=dict)
-    """Share of the own region's keys that each region is home to."""
+    """Share of the own region's keys whose home is in each region, by
+    service."""
 
     rings: dict[tuple[ServiceName, Regions], Ring] = field(default_factory=dict)
-    """Rings of the upstreams of some regions, or of all."""
+    """Hash rings by service and regions; no regions means all of them."""
 
     def homes_of(
         self,
@@ -63,26 +65,28 @@
         key: str,
         regions: Regions = _ALL_REGIONS,
     ) -> Homes:
-        """The upstreams of a service that a key belongs to.
+        """Return the home upstreams of a key at a service.
 
-        Where only some regions may serve a request, its key belongs to
-        upstreams of these: it would be a stranger at all of them otherwise,
-        and executed cold at one after the other.
+        If only some regions may serve a request, its key has its homes in
+        these regions: otherwise it would have no home at any allowed upstream
+        and would be executed cold at one after the other.
         """
-        self._follow(catalog, region_shares)
-        known = self.homes.get((service, key, regions))
-        if known is None:
-            if len(self.homes) >= _CACHE_LIMIT:
+        self._invalidate(catalog, region_shares)
+        homes = self.homes.get((service, key, regions))
+        if homes is None:
+            if len(self.homes) >= _MAX_CACHED_KEYS:
                 self.homes.clear()
             shares = self.shares.get(service)
             if shares is None:
-                shares = region_shares.present_shares(catalog, service, origin)
+                shares = region_shares.current_shares(catalog, service, origin)
                 self.shares[service] = shares
-            known = self._find(catalog, service, key, shares, regions)
-            self.homes[service, key, regions] = known
-        return known
+            homes = self._find(catalog, service, key, shares, regions)
+            self.homes[service, key, regions] = homes
+        return homes
 
-    def _follow(self, catalog: Catalog, region_shares: RegionShares) -> None:
+    def _invalidate(
+        self, catalog: Catalog, region_shares: RegionShares
+    ) -> None:
         before = self.generation
         self.generation = (catalog.generation, region_shares.generation)
         if self.generation == before:
@@ -100,20 +104,20 @@
         shares: Shares,
         regions: Regions,
     ) -> Homes:
-        """Find a key's own upstream by nearness, then the others by slots.
+        """Find the primary home in the key's home region, then the others.
 
-        The others are not weighed by nearness, so that keys spill to regions
-        with room when their own is short of it.
+        The others are drawn from all regions by slots alone, so that keys
+        spill to regions with free slots when their own has none.
         """
         probes = probes_of(key)
-        region = _region_of(key, shares, regions)
-        near = self._ring(catalog, service, frozenset((region,)))
-        own = next(near.nearest(probes), '')
-        if not own:
+        region = _home_region(key, shares, regions)
+        region_ring = self._ring(catalog, service, frozenset((region,)))
+        primary = next(region_ring.nearest(probes), '')
+        if not primary:
             return ()
         others = self._others(catalog, service, regions, probes)
-        spilt = (name for name in others if name != own)
-        return (own, *islice(spilt, SPILL - 1))
+        spill = (name for name in others if name != primary)
+        return (primary, *islice(spill, HOMES_PER_KEY - 1))
 
     def _others(
         self,
@@ -141,10 +145,11 @@
         return ring
 
 
-def _region_of(key: str, shares: Shares, regions: Regions) -> RegionName:
-    """Draw the region that a key is at home in, in proportion to its share.
+def _home_region(key: str, shares: Shares, regions: Regions) -> RegionName:
+    """Pick the home region of a key, in proportion to the regions' shares.
 
-    Weighted rendezvous hashing: a share that grows only draws keys to it.
+    Weighted rendezvous hashing: if the share of a region grows, keys move only
+    to that region.
     """
     allowed = {
         region: share
@@ -159,5 +164,5 @@
 
 
 def _score(key: str, region: RegionName, share: float) -> float:
-    drawn = xxhash.xxh64_intdigest(f'{key}|{region}'.encode())
-    return -share / log((drawn + 0.5) / HASHES)
+    hashed = xxhash.xxh64_intdigest(f'{key}|{region}'.encode())
+    return -share / log((hashed + 0.5) / HASH_SPACE)
--- a/worksrail/core/steering/_choosing.py
+++ b/worksrail/core/steering/_choosing.py
@@ -1,4 +1,4 @@
-"""Which upstream a request goes to: the one that costs least time."""
+"""Chooses the upstream with the least estimated cost for a request."""
 
 from collections.abc import Iterable, Iterator, Sequence
 from dataclasses import dataclass, field
@@ -12,12 +12,16 @@
 from worksrail.core.steering._catalog import Upstream
 from worksrail.core.steering._cold_limits import cold_senders
 from worksrail.core.steering._congestion import (
-    crowding,
-    price_of,
-    use_of_slots,
+    current_slot_usage,
+    service_congestion_price,
+    upstream_congestion_price,
 )
-from worksrail.core.steering._load import FASTEST, LatencyEwma, UpstreamLoad
-from worksrail.core.steering._max_wait import patience
+from worksrail.core.steering._load import (
+    MIN_SLOWNESS,
+    LatencyEwma,
+    UpstreamLoad,
+)
+from worksrail.core.steering._max_wait import max_wait
 from worksrail.core.steering._request import SteeredRequest
 from worksrail.core.steering._routes import (
     RouteKind,
@@ -27,83 +31,111 @@
 from worksrail.core.steering._tokens import may_ask_for_token
 from worksrail.core.steering.state import SteeringState
 
-# First guess of the way to another region and back, until connections teach
-# better; seconds.
-_FAR_GUESS: Final = 0.05
-_NEAR_GUESS: Final = 0.001
-# A large answer crosses regions in several round trips, and its bytes are
-# the dearest: seconds that this is counted for.
-_DOWNLOAD_ABROAD: Final = 0.15
-# Seconds that another zone of the region is counted for; its bytes cost.
-_OTHER_ZONE: Final = 0.004
-# Share of the lost warmth that is counted where this entry has sent the key
-# lately, though it is not the key's own upstream.
-_SERVED_LOSS: Final = 0.15
-# Lost warmth that is counted at an upstream that the key does not spill to.
-_STRANGER_LOSS: Final = 4.0
-# Target latencies that an answer which is no success is counted for: the
-# request has lost all its worth, a late one only most of it.
-_FAILURE_LOSS: Final = 3.0
-# The same for a rejection: it takes one of few repeats, or the request is
-# refused.
-_REJECTION_LOSS: Final = 1.0
-# Share of a service's slots in use, queues included, from which a key is not
-# sent to another upstream for a queue at its own: cold work would take slots
-# from warm.
-_NO_ROOM: Final = 1.0
-# Upstreams that are weighed for one request besides its homes, drawn anew each
-# time: the best of so many is as good as any.
-_MOST_WEIGHED: Final = 128
-# Share of the less urgent requests that leave their tokens to more urgent ones
-# while these are refused.
-_YIELDING: Final = 0.9
-# Times slower that a cold upstream is taken to be.
+# Initial estimates of the round-trip time to another region and within the
+# own one, used until connections have been measured; seconds.
+_INITIAL_FAR_RTT: Final = 0.05
+_INITIAL_NEAR_RTT: Final = 0.001
+# Seconds added to the cost of a download from another region: a large answer
+# takes several round trips, and traffic between regions is the most expensive.
+_CROSS_REGION_DOWNLOAD_COST: Final = 0.15
+# Seconds added to the cost of another zone of the own region, since traffic
+# between zones is charged.
+_CROSS_ZONE_COST: Final = 0.004
+# Share of the cold penalty at a secondary home of the key that has served the
+# key from this entry recently.
+_RECENTLY_SERVED_PENALTY: Final = 0.15
+# Multiple of the cold penalty at an upstream that is not a home of the key.
+_NON_HOME_PENALTY: Final = 4.0
+# Cost of a failed answer, in target latencies: a failed request has lost its
+# whole value, a late one only most of it.
+_FAILURE_COST: Final = 3.0
+# Cost of a rejection, in target latencies: it uses up one of the few repeats,
+# or the request is refused.
+_REJECTION_COST: Final = 1.0
+# Share of a service's slots in use, queued requests included, from which a key
+# is no longer sent to its secondary home because of a queue at the primary one:
+# cold executions would take slots from warm ones.
+_FULL_USAGE: Final = 1.0
+# Maximum number of upstreams evaluated for one request besides its homes.
+# They are sampled anew for each request: the best of such a sample is about as
+# good as the best of all.
+_MAX_CANDIDATES: Final = 128
+# Probability that a request leaves its token to more urgent ones while those
+# are refused.
+_YIELD_PROBABILITY: Final = 0.9
+# Minimum slowness assumed of a cold upstream.
 _COLD_SLOWNESS: Final = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """The upstream for an attempt, and what it is expected to cost."""
+    """The upstream chosen for an attempt, and the estimates behind it."""
 
     upstream: Upstream
-    """Where to send it."""
+    """Upstream that the request is sent to."""
 
     cost: float
-    """Seconds, with what preferences add."""
+    """Estimated cost in seconds, preferences and penalties included."""
 
     wait: float
-    """Seconds for which it will wait for a slot."""
+    """Expected seconds in the queue for a slot."""
 
-    work: float
-    """Seconds of execution and way."""
+    latency: float
+    """Expected seconds of execution and round trip, without the queue."""
 
     queue: float
-    """Requests ahead of it for each slot, beyond those being executed."""
+    """Queued requests ahead of it for each slot."""
 
     warm: bool
-    """Whether its key should be warm there."""
+    """Whether the key is expected to be warm there."""
 
 
 @dataclass(slots=True)
-class _Scale:
-    """What is the same for all upstreams of one decision."""
+class _CostModel:
+    """The inputs of one decision that are the same for all upstreams."""
 
     state: SteeringState
     request: SteeredRequest
     now: float
-    warm: float
-    usual: float
-    loss: float
+
+    warm_time: float
+    """Seconds of an execution on the route whose key is warm."""
+
+    execution_time: float
+    """Average seconds of an execution at the service, over all routes."""
+
+    cold_penalty: float
+    """Extra seconds of an execution whose key is cold."""
+
     homes: Homes
-    served: frozenset[str]
-    shortage: float
-    used: float
+    """Home upstreams of the key; empty if the request has no key."""
+
+    recently_served: frozenset[str]
+    """Upstreams that have served the key from this entry recently."""
+
+    congestion_price: float
+    """Price of a second of execution, by the use of the service's slots."""
+
+    slots_used: float
+    """Requests in flight at the service over its slots."""
+
     policy: ServicePolicy | None
-    failure_loss: float
-    rejection_loss: float
+    """Policy of the service, if a configuration is in force."""
+
+    failure_cost: float
+    """Cost of a failed answer in seconds."""
+
+    rejection_cost: float
+    """Cost of a rejection in seconds."""
+
     has_limits: bool
+    """Whether any upstream has named a limit."""
+
     yields: bool = False
+    """Whether the request leaves tokens to more urgent ones."""
+
     limited: list[str] = field(default_factory=list)
+    """Upstreams skipped for want of a token."""
 
     @classmethod
     def from_request(
@@ -111,12 +143,12 @@
         state: SteeringState,
         request: SteeredRequest,
         now: float,
-    ) -> '_Scale':
-        """Look up what the decision needs."""
+    ) -> '_CostModel':
+        """Collect the inputs of the decision."""
         key = request.affinity_key
         service = request.service
-        times = state.warm_keys.of(request.route, service)
-        used = use_of_slots(state, service, now)
+        times = state.warm_keys.times_of(request.route, service)
+        slots_used = current_slot_usage(state, service, now)
         policy = None
         if isinstance(state.configuration, RoutingConfiguration):
             policy = state.configuration.services.get(service)
@@ -126,51 +158,59 @@
             now,
             times.warm.typical,
             state.typical_time(service, times.warm.typical).typical,
-            times.loss if key else 0,
+            times.cold_penalty if key else 0,
             _homes(state, request) if key else (),
-            state.warm_keys.warm_at(service, key, now),
-            price_of(used),
-            used,
+            state.warm_keys.warm_upstreams(service, key, now),
+            service_congestion_price(slots_used),
+            slots_used,
             policy,
-            request.route.target_latency * _FAILURE_LOSS,
-            request.route.target_latency * _REJECTION_LOSS,
+            request.route.target_latency * _FAILURE_COST,
+            request.route.target_latency * _REJECTION_COST,
             state.rates.named.has_limits,
             _yields_tokens(state, request, now),
         )
 
-    def weigh(self, upstream: Upstream, least: float = inf) -> Choice | None:
-        """What it costs to send the request to an upstream.
+    def evaluate(
+        self, upstream: Upstream, max_cost: float = inf
+    ) -> Choice | None:
+        """Estimate the cost of sending the request to an upstream.
 
-        None if that is no less than the least so far.  Nothing that is added
-        lowers a cost, so most upstreams need not be weighed to the end.
+        Returns None if that is not below ``max_cost``, the least cost found so
+        far.  Every term is non-negative, so the evaluation of most upstreams
+        ends early.
         """
         record = upstream.record
         load = self.state.loads.of(record.name)
         slots = max(1, record.slots)
         slowness = self._slowness(upstream, load)
-        lost = self._lost(record.name)
-        work = (self.warm + lost) * slowness
+        penalty = self._cold_penalty(record.name)
+        execution = (self.warm_time + penalty) * slowness
         queue = max(0, load.in_flight + 1 - slots) / slots
-        wait = queue * self.usual * slowness
-        own = work + distance(self.state, upstream.region).typical
-        cost = wait + own + self._preference(upstream)
-        if cost + work * self.shortage >= least:
+        wait = queue * self.execution_time * slowness
+        latency = execution + region_rtt(self.state, upstream.region).typical
+        cost = wait + latency + self._locality_cost(upstream)
+        if cost + execution * self.congestion_price >= max_cost:
             return None
         cost += self._token_wait(upstream)
-        cost += load.failing_now(self.now) * self.failure_loss
-        cost += load.rejecting_now(self.now) * self.rejection_loss
-        cost += work * (crowding(load.in_flight / slots) + self.shortage)
-        if cost >= least:
+        cost += load.current_failure_rate(self.now) * self.failure_cost
+        cost += load.current_rejection_rate(self.now) * self.rejection_cost
+        cost += execution * (
+            upstream_congestion_price(load.in_flight / slots)
+            + self.congestion_price
+        )
+        if cost >= max_cost:
             return None
-        return Choice(upstream, cost, wait, own, queue, lost == 0)
+        return Choice(upstream, cost, wait, latency, queue, penalty == 0)
 
-    def least_elsewhere(self) -> float:
-        """No upstream that the key does not belong to costs less."""
-        least_work = (self.warm + self.loss * _STRANGER_LOSS) * FASTEST
-        return least_work * (1 + self.shortage)
+    def min_cost_elsewhere(self) -> float:
+        """Lower bound of the cost at upstreams that are no home of the key."""
+        least_execution = (
+            self.warm_time + self.cold_penalty * _NON_HOME_PENALTY
+        ) * MIN_SLOWNESS
+        return least_execution * (1 + self.congestion_price)
 
     def allows(self, upstream: Upstream) -> bool:
-        """Whether the upstream may get this request now."""
+        """Whether the upstream may receive this request now."""
         if upstream.name in self.request.tried:
             return False
         regions = self.request.regions
@@ -182,33 +222,37 @@
         return self._limit_allows(upstream.name)
 
     def _slowness(self, upstream: Upstream, load: UpstreamLoad) -> float:
-        learned = load.current_slowness(self.now)
+        measured = load.current_slowness(self.now)
         if upstream.cold_until > self.now:
-            return max(learned, _COLD_SLOWNESS)
-        return learned
+            return max(measured, _COLD_SLOWNESS)
+        return measured
 
-    def _lost(self, name: str) -> float:
+    def _cold_penalty(self, name: str) -> float:
         if not self.homes or name == self.homes[0]:
             return 0
         if name not in self.homes:
-            return self.loss * _STRANGER_LOSS
-        return self.loss * _SERVED_LOSS if name in self.served else self.loss
+            return self.cold_penalty * _NON_HOME_PENALTY
+        return (
+            self.cold_penalty * _RECENTLY_SERVED_PENALTY
+            if name in self.recently_served
+            else self.cold_penalty
+        )
 
     def _token_wait(self, upstream: Upstream) -> float:
-        """Seconds until a token comes, if one has to be asked for."""
+        """Seconds until a token arrives, if one has to be requested."""
         pacer = self.state.rates.named
         asked = pacer.permission(upstream.name, self.now)
         if asked is Permission.TOKEN_NEEDED:
-            return distance(self.state, upstream.region).typical
+            return region_rtt(self.state, upstream.region).typical
         return 0
 
-    def _preference(self, upstream: Upstream) -> float:
+    def _locality_cost(self, upstream: Upstream) -> float:
         settings = self.state.settings
         if upstream.region != settings.region:
             if self.request.route.kind is RouteKind.DOWNLOAD:
-                return _DOWNLOAD_ABROAD
+                return _CROSS_REGION_DOWNLOAD_COST
             return 0
-        return 0 if upstream.record.zone == settings.zone else _OTHER_ZONE
+        return 0 if upstream.record.zone == settings.zone else _CROSS_ZONE_COST
 
     def _limit_allows(self, name: str) -> bool:
         if not self.has_limits and not self.yields:
@@ -228,16 +272,16 @@
             return False
         state = self.state
         own = state.settings.name
-        sharers = cold_senders(
+        senders = cold_senders(
             upstream.name,
             [own, *state.fleet.entries_in_region(region)],
             rate,
             state.settings.bounds,
         )
-        if own not in sharers:
+        if own not in senders:
             return False
         return state.rates.cold.allows(
-            upstream.name, rate, len(sharers), self.now
+            upstream.name, rate, len(senders), self.now
         )
 
 
@@ -246,31 +290,32 @@
     request: SteeredRequest,
     now: float,
 ) -> Choice | ResultCode:
-    """Choose the upstream for the next attempt of a request."""
-    scale = _Scale.from_request(state, request, now)
-    best = _best_home(scale) or _best_of_all(scale)
-    if scale.limited:
-        # The key's own upstreams are weighed first.
-        state.rates.named.add_demand(scale.limited[0])
+    """Choose the upstream for the next attempt, or say why there is none."""
+    model = _CostModel.from_request(state, request, now)
+    best = _best_home(model) or _best_of_all(model)
+    if model.limited:
+        # The homes of the key are checked first, so this is one of them if
+        # any of them was limited.
+        state.rates.named.add_demand(model.limited[0])
     if best is None:
-        if scale.limited:
-            state.rates.named.add_demand(state.rng.choice(scale.limited))
-            state.rates.refused[request.priority] = now
+        if model.limited:
+            state.rates.named.add_demand(state.rng.choice(model.limited))
+            state.rates.refused_at[request.priority] = now
             return ResultCode.UPSTREAMS_LIMITED
         return ResultCode.NO_SLOT
-    if _is_in_time(scale, best):
+    if _is_in_time(model, best):
         return best
-    return _other_home(scale) or ResultCode.QUEUE_FULL
+    return _best_home_in_time(model) or ResultCode.QUEUE_FULL
 
 
-def distance(state: SteeringState, region: RegionName) -> LatencyEwma:
-    """Seconds to a region and back."""
-    known = state.region_rtts.get(region)
-    if known is None:
+def region_rtt(state: SteeringState, region: RegionName) -> LatencyEwma:
+    """Return the average round-trip time to a region."""
+    rtt = state.region_rtts.get(region)
+    if rtt is None:
         near = region == state.settings.region
-        known = LatencyEwma(_NEAR_GUESS if near else _FAR_GUESS)
-        state.region_rtts[region] = known
-    return known
+        rtt = LatencyEwma(_INITIAL_NEAR_RTT if near else _INITIAL_FAR_RTT)
+        state.region_rtts[region] = rtt
+    return rtt
 
 
 def _yields_tokens(
@@ -278,79 +323,81 @@
     request: SteeredRequest,
     now: float,
 ) -> bool:
-    """Whether a request leaves scarce tokens to more urgent ones.
+    """Decide whether a request leaves scarce tokens to more urgent ones.
 
-    A part of the less urgent ones does not, so that none of them starves.
+    Some of the less urgent requests do not yield, so that none starve.
     """
     rates = state.rates
-    if not rates.is_wanted_by_more_urgent(request.priority, now):
+    if not rates.is_needed_by_higher_priority(request.priority, now):
         return False
-    return state.rng.random() < _YIELDING
+    return state.rng.random() < _YIELD_PROBABILITY
 
 
-def _best_home(scale: _Scale) -> Choice | None:
-    """The best of the upstreams that the key belongs to, if no other wins.
+def _best_home(model: _CostModel) -> Choice | None:
+    """Return the best home of the key if no other upstream can cost less.
 
-    The others need not be weighed when even the fastest of them, without a
-    wait, would cost more: a service may have hundreds.
+    The other upstreams, of which a service may have hundreds, need not be
+    evaluated if even the fastest of them without a queue would cost more.
     """
-    best = _best(scale, _home_candidates(scale))
-    if best is None or best.cost > scale.least_elsewhere():
+    best = _best(model, _home_candidates(model))
+    if best is None or best.cost > model.min_cost_elsewhere():
         return None
     return best
 
 
-def _home_candidates(scale: _Scale) -> Iterator[Upstream]:
-    return _candidates(scale, _own_homes(scale), ejected=False)
+def _home_candidates(model: _CostModel) -> Iterator[Upstream]:
+    return _candidates(model, _home_upstreams(model), ejected=False)
 
 
-def _own_homes(scale: _Scale) -> list[Upstream]:
-    known = scale.state.catalog.upstreams
-    return [known[name] for name in scale.homes]
+def _home_upstreams(model: _CostModel) -> list[Upstream]:
+    known = model.state.catalog.upstreams
+    return [known[name] for name in model.homes]
 
 
-def _is_in_time(scale: _Scale, choice: Choice) -> bool:
-    return choice.wait <= patience(scale.request, choice.work, scale.now)
+def _is_in_time(model: _CostModel, choice: Choice) -> bool:
+    return choice.wait <= max_wait(model.request, choice.latency, model.now)
 
 
-def _other_home(scale: _Scale) -> Choice | None:
-    """The best of the key's upstreams at which it need not wait too long.
+def _best_home_in_time(model: _CostModel) -> Choice | None:
+    """Return the best home of the key whose queue is short enough.
 
-    Keys are drawn unevenly: one upstream has a queue while others have free
+    Keys are spread unevenly: one upstream has a queue while others have free
     slots.  The answer may be late, but the key is warm there from then on.
     """
-    if scale.used >= _NO_ROOM:
+    if model.slots_used >= _FULL_USAGE:
         return None
-    choices = map(scale.weigh, _home_candidates(scale))
+    choices = map(model.evaluate, _home_candidates(model))
     in_time = (
-        choice for choice in choices if choice and _is_in_time(scale, choice)
+        choice for choice in choices if choice and _is_in_time(model, choice)
     )
     return min(in_time, key=_cost, default=None)
 
 
-def _best_of_all(scale: _Scale) -> Choice | None:
-    usable = scale.state.catalog.services.get(scale.request.service, [])
-    if len(usable) > _MOST_WEIGHED:
-        drawn = scale.state.rng.sample(usable, _MOST_WEIGHED)
-        best = _best_among(scale, (*_own_homes(scale), *drawn))
+def _best_of_all(model: _CostModel) -> Choice | None:
+    usable = model.state.catalog.services.get(model.request.service, [])
+    if len(usable) > _MAX_CANDIDATES:
+        sampled = model.state.rng.sample(usable, _MAX_CANDIDATES)
+        best = _best_among(model, (*_home_upstreams(model), *sampled))
         if best:
             return best
-    return _best_among(scale, usable)
+    return _best_among(model, usable)
 
 
-def _best_among(scale: _Scale, upstreams: Sequence[Upstream]) -> Choice | None:
-    # If all are ejected, these are better than nothing.
+def _best_among(
+    model: _CostModel, upstreams: Sequence[Upstream]
+) -> Choice | None:
+    # If all are ejected, the request is sent to one of these anyway.
     for ejected in (False, True):
-        best = _best(scale, _candidates(scale, upstreams, ejected=ejected))
+        best = _best(model, _candidates(model, upstreams, ejected=ejected))
         if best:
             return best
     return None
 
 
-def _best(scale: _Scale, upstreams: Iterable[Upstream]) -> Choice | None:
+def _best(model: _CostModel, upstreams: Iterable[Upstream]) -> Choice | None:
     best: Choice | None = None
     for upstream in upstreams:
-        choice = scale.weigh(upstream, best.cost if best else inf)
+        choice = model.evaluate(upstream, best.cost if best else inf)
         best = choice or best
     return best
 
@@ -367,21 +414,23 @@
 
 
 def _candidates(
-    scale: _Scale,
+    model: _CostModel,
     upstreams: Iterable[Upstream],
     *,
     ejected: bool,
 ) -> Iterator[Upstream]:
-    state = scale.state
+    state = model.state
     for upstream in upstreams:
         load = state.loads.of(upstream.name)
-        out = (
-            load.ejected_until > scale.now
-            or state.reachability.is_excluded(upstream.record.zone, scale.now)
-            or load.is_silent(scale.usual, upstream.record.slots, scale.now)
+        unavailable = (
+            load.ejected_until > model.now
+            or state.reachability.is_excluded(upstream.record.zone, model.now)
+            or load.is_silent(
+                model.execution_time, upstream.record.slots, model.now
+            )
         )
-        if out is ejected:
-            if scale.allows(upstream):
+        if unavailable is ejected:
+            if model.allows(upstream):
                 yield upstream
 
 
--- a/worksrail/core/steering/_cold_limits.py
+++ b/worksrail/core/steering/_cold_limits.py
@@ -1,4 +1,4 @@
-"""Limits on what cold upstreams get, over all entries."""
+"""Limits on the requests to cold upstreams, over all entries."""
 
 from dataclasses import dataclass, field
 from math import ceil
@@ -11,34 +11,34 @@
 class ColdLimits:
     """Spaces this entry's requests to each cold upstream.
 
-    A cold upstream tolerates a number of requests a second from all entries
-    together.  Only some entries of its own region use it, and each spaces
-    its requests by the number of those entries over that rate: in any second
-    they send at most the rate and one request each.
+    A cold upstream has a maximum rate over all entries.  Only some entries of
+    its own region send to it, and the interval between requests of each is the
+    number of these entries divided by the rate.  So in any second they send at
+    most the rate plus one request each.
     """
 
     last_sent: dict[str, float] = field(default_factory=dict)
-    """When each cold upstream last got a request from here."""
+    """When this entry last sent a request to each cold upstream."""
 
     def allows(
         self,
         name: str,
         rate: float,
-        sharers: int,
+        senders: int,
         now: float,
     ) -> bool:
-        """Whether a request may be sent now."""
+        """Whether this entry may send a request to the upstream now."""
         if rate <= 0:
             return True
         last = self.last_sent.get(name)
-        return last is None or now - last >= max(1, sharers) / rate
+        return last is None or now - last >= max(1, senders) / rate
 
     def record_sent(self, name: str, now: float) -> None:
-        """Count a request to a cold upstream."""
+        """Record a request to a cold upstream."""
         self.last_sent[name] = now
 
     def forget(self, names: set[str]) -> None:
-        """Drop what is kept of upstreams that are warm or gone."""
+        """Drop the state of upstreams that are warm or gone."""
         for name in names & self.last_sent.keys():
             self.last_sent.pop(name)
 
@@ -49,26 +49,27 @@
     rate: float,
     bounds: SteeringBounds,
 ) -> list[str]:
-    """The entries that may use a cold upstream.
+    """Return the entries that may send to a cold upstream.
 
-    As many as the requests allowed beyond its rate, halved: entries may
-    disagree for a while on who the others are.
+    Each sender may exceed its part of the rate by one request.  The number of
+    senders is half of the requests that the bounds allow above the rate: for a
+    while entries may disagree on the list of entries, and thus on the senders.
     """
-    beyond = rate * (bounds.cold_factor - 1) + bounds.cold_extra
-    most = max(1, int(beyond / 2))
-    if len(entries) <= most:
+    excess = rate * (bounds.cold_factor - 1) + bounds.cold_extra
+    maximum = max(1, int(excess / 2))
+    if len(entries) <= maximum:
         return entries
     return sorted(
         entries,
         key=lambda entry: rendezvous_weight(f'cold|{name}', entry),
         reverse=True,
-    )[:most]
+    )[:maximum]
 
 
-def max_requests_per_second(rate: float, sharers: int) -> int:
-    """Most requests that a cold upstream gets in one second.
+def max_requests_per_second(rate: float, senders: int) -> int:
+    """Return the maximum number of requests to a cold upstream in one second.
 
     >>> max_requests_per_second(14, 3)
     17
     """
-    return ceil(rate) + sharers
+    return ceil(rate) + senders
--- a/worksrail/core/steering/_congestion.py
+++ b/worksrail/core/steering/_congestion.py
@@ -1,9 +1,10 @@
-"""What it costs others that a request takes a slot.
+"""Congestion price of a slot: the delay that its use causes other requests.
 
-This answers cold work.  An execution on a cold key takes several times as
-long as on a warm one, so a service that sends keys to cold places when slots
-are short runs out of slots, queues, and sends more keys to cold places.  A
-price on slots, which grows with their use, keeps requests at warm upstreams.
+An execution with a cold key takes several times as long as one with a warm
+key.  A service that sends keys to upstreams where they are cold when slots are
+scarce runs out of slots, builds queues, and then sends even more keys to such
+upstreams.  A price that grows with the use of slots prevents this: it keeps
+requests at upstreams where their keys are warm.
 """
 
 from typing import Final
@@ -11,51 +12,55 @@
 from worksrail.core.identity import ServiceName
 from worksrail.core.steering.state import SlotUsage, SteeringState
 
-# Share of its slots from which an upstream counts as short of room.
-_ROOMY: Final = 0.5
-# Seconds of others' waiting that a second of work causes at an upstream all
-# of whose slots are in use.
-_CROWDING: Final = 1.0
-# Share of a service's slots in use from which slots are short everywhere, and
-# seconds of others' waiting for each second of work when all are in use.
-_SHORT: Final = 0.4
-_SHORTAGE: Final = 3.0
-# Seconds for which the use of a service's slots is not counted anew, and
-# upstreams of a service from which it is kept for longer in proportion: to
-# count 3,000 of them takes 0.8 ms, and their use changes slowly.
-_SHORTAGE_AGE: Final = 0.05
+# Share of an upstream's slots in use from which its slots have a price.
+_UPSTREAM_THRESHOLD: Final = 0.5
+# Seconds of delay to other requests that a second of execution causes at an
+# upstream all of whose slots are in use.
+_UPSTREAM_PRICE: Final = 1.0
+# Share of a service's slots in use from which all its slots have a price, and
+# the seconds of delay to other requests for each second of execution when all
+# of them are in use.
+_SERVICE_THRESHOLD: Final = 0.4
+_SERVICE_PRICE: Final = 3.0
+# Seconds for which the use of a service's slots is cached, and the number of
+# upstreams from which it is cached longer in proportion: summing up 3,000
+# upstreams takes 0.8 ms, and the use of so many slots changes slowly.
+_USAGE_TTL: Final = 0.05
 _MANY_UPSTREAMS: Final = 200
 
 
-def use_of_slots(
+def current_slot_usage(
     state: SteeringState,
     service: ServiceName,
     now: float,
 ) -> float:
-    """Requests in flight at a service over its slots; may pass 1."""
-    known = state.slot_usage.get(service)
-    if known is None or now - known.measured_at > _kept_for(state, service):
-        known = SlotUsage(_counted(state, service), now)
-        state.slot_usage[service] = known
-    return known.used
+    """Return requests in flight at a service over its slots; may exceed 1."""
+    cached = state.slot_usage.get(service)
+    if cached is None or now - cached.measured_at > _usage_ttl(state, service):
+        cached = SlotUsage(_measured_usage(state, service), now)
+        state.slot_usage[service] = cached
+    return cached.used
 
 
-def price_of(used: float) -> float:
-    """Seconds of others' waiting for a second of work, by a service's use."""
-    return _SHORTAGE * _excess(used, _SHORT)
+def service_congestion_price(used: float) -> float:
+    """Return the price of a second of execution, by the service's slot use.
 
+    It is the seconds of delay that the execution causes other requests.
+    """
+    return _SERVICE_PRICE * _excess(used, _SERVICE_THRESHOLD)
 
-def crowding(used: float) -> float:
-    """The same by the use of one upstream's slots."""
-    return _CROWDING * _excess(used, _ROOMY)
 
+def upstream_congestion_price(used: float) -> float:
+    """Return the same by the slot use of one upstream."""
+    return _UPSTREAM_PRICE * _excess(used, _UPSTREAM_THRESHOLD)
 
-def _kept_for(state: SteeringState, service: ServiceName) -> float:
+
+def _usage_ttl(state: SteeringState, service: ServiceName) -> float:
     count = len(state.catalog.names_of(service))
-    return _SHORTAGE_AGE * max(1, count / _MANY_UPSTREAMS)
+    return _USAGE_TTL * max(1, count / _MANY_UPSTREAMS)
 
 
-def _counted(state: SteeringState, service: ServiceName) -> float:
+def _measured_usage(state: SteeringState, service: ServiceName) -> float:
     slots = state.catalog.slots_of(service)
     if not slots:
         return 1
@@ -63,6 +68,6 @@
     return state.loads.in_flight_at(names) / slots
 
 
-def _excess(used: float, roomy: float) -> float:
-    """How far a use of slots is between a roomy share and all, 0 to 1."""
-    return min(1, max(0, used - roomy) / (1 - roomy))
+def _excess(used: float, threshold: float) -> float:
+    """Scale the use of slots from the threshold to all slots into 0 to 1."""
+    return min(1, max(0, used - threshold) / (1 - threshold))
--- a/worksrail/core/steering/_identifying.py
+++ b/worksrail/core/steering/_identifying.py
@@ -1,4 +1,4 @@
-"""Whose request it is, and where it may be served."""
+"""Finds the customer of a request and the regions that may serve it."""
 
 from worksrail.core.customers import Customer, NoCustomer
 from worksrail.core.identity import RegionName
@@ -16,7 +16,7 @@
     head: SteeredHead,
     now: float,
 ) -> Customer | NoCustomer | ResultCode:
-    """The customer of a request, why it has none, or why it is refused."""
+    """Return the customer, why there is none, or why the request is refused."""
     if configuration.customers is None:
         return NoCustomer.KEY_NOT_REQUIRED
     holder = configuration.customers.find_by_key(head.key_digest)
@@ -24,7 +24,7 @@
         return holder
     if route.public:
         return NoCustomer.PUBLIC_ROUTE
-    if head.key_digest and _may_be_behind(state, now):
+    if head.key_digest and _may_be_stale(state, now):
         return ResultCode.KEY_UNCERTAIN
     return ResultCode.UNKNOWN_KEY
 
@@ -33,7 +33,7 @@
     route: Route,
     customer: Customer | NoCustomer,
 ) -> frozenset[RegionName] | ResultCode:
-    """Regions that route and customer both allow; empty means all."""
+    """Return the regions that route and customer allow; empty means all."""
     if not isinstance(customer, Customer) or not customer.regions:
         return route.regions
     if not route.regions:
@@ -41,12 +41,12 @@
     return (route.regions & customer.regions) or ResultCode.NO_COMMON_REGION
 
 
-def _may_be_behind(state: SteeringState, now: float) -> bool:
-    """Whether a newer configuration may be in force elsewhere.
+def _may_be_stale(state: SteeringState, now: float) -> bool:
+    """Whether another entry may have a newer configuration.
 
-    Then a key that is not known here is not called unknown: its caller would
-    not try again.  An entry that reads the store is up to date, as are those
-    that live beside one; the others are told, or cut off.
+    If so, an unknown key is not refused as unknown, since its caller would not
+    retry.  An entry that reads the store is up to date, as is one that receives
+    updates from such an entry; an isolated entry may be stale.
     """
     if not state.settled(now) or StoreKind.CONFIGURATION in state.behind_since:
         return True
--- a/worksrail/core/steering/_key_overlap.py
+++ b/worksrail/core/steering/_key_overlap.py
@@ -1,9 +1,10 @@
-"""Whether regions ask for the same keys.
+"""Estimates how many keys the regions have in common.
 
-Keys that only one region asks for are best at home near it.  A key that all
-regions ask for would then be executed cold once in each, and take up memory
-in each.  Entries tell a sketch of the keys they see: the few whose hashes are
-smallest.  Two sets of keys share about as many of all as their sketches do.
+The best home for a key that one region requests is near that region.  If all
+regions request a key, a home in each of them would mean one cold execution and
+one cache slot in each.  So entries advertise a bottom-k sketch of the keys
+that their callers request: the keys with the smallest hashes.  The overlap of
+two sketches estimates the overlap of the two sets of keys.
 """
 
 from collections.abc import Iterable
@@ -14,45 +15,48 @@
 
 from worksrail.core.identity import RegionName, ServiceName
 
-# Hashes in a sketch: eight tell a quarter in common from none at all.
-_SIZE: Final = 8
-# Seconds after which a key that was not seen again is left out.
-_MEMORY: Final = 15.0
-# Share of keys in common from which regions share their keys.
-_IN_COMMON: Final = 0.25
+# Hashes in a sketch: eight are enough to tell an overlap of a quarter from
+# none.
+_SKETCH_SIZE: Final = 8
+# Seconds after which a key or sketch that was not seen again is dropped.
+_SKETCH_TTL: Final = 15.0
+# Minimum share of keys in common for regions to share their keys.
+_MIN_OVERLAP: Final = 0.25
 
 Sketch = tuple[int, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class ToldSketch:
-    """Sketch of one service's keys, as a zone or an entry told it."""
+class ReportedSketch:
+    """Sketch of one service's keys, as an entry or a zone advertised it."""
 
     region: RegionName
-    """Region that the keys are asked for in."""
+    """Region whose callers request the keys."""
 
     hashes: Sketch
-    """The smallest hashes, in order."""
+    """The smallest hashes in ascending order."""
 
-    told_at: float
-    """When it was told."""
+    received_at: float
+    """When it was received."""
 
 
 @dataclass(slots=True)
 class KeyOverlap:
-    """Sketches of the own keys and of what others told."""
+    """Sketches of this entry's keys and of those that peers advertised."""
 
     own: dict[ServiceName, dict[int, float]] = field(default_factory=dict)
-    """Smallest hashes of own keys with the time they were last seen."""
+    """Smallest hashes of this entry's keys, with the time of last request."""
 
-    told: dict[ServiceName, dict[str, ToldSketch]] = field(default_factory=dict)
-    """Sketches by service and by who told them."""
+    reported: dict[ServiceName, dict[str, ReportedSketch]] = field(
+        default_factory=dict
+    )
+    """Received sketches by service, then by the entry or zone they are of."""
 
     def record_key(self, service: ServiceName, key: str, now: float) -> None:
-        """A caller of this entry asked for a key."""
+        """Record that a caller of this entry requested a key."""
         hashed = xxhash.xxh32_intdigest(key.encode())
         seen = self.own.setdefault(service, {})
-        if hashed not in seen and len(seen) >= _SIZE:
+        if hashed not in seen and len(seen) >= _SKETCH_SIZE:
             if hashed > max(seen):
                 return
             seen.pop(max(seen))
@@ -60,27 +64,27 @@
 
     def set_sketch(
         self,
-        teller: str,
+        source: str,
         region: RegionName,
         service: ServiceName,
         hashes: Sketch,
         now: float,
     ) -> None:
-        """Take in a sketch that another entry, or a zone, told."""
-        told = self.told.setdefault(service, {})
-        told[teller] = ToldSketch(region, hashes, now)
+        """Store the sketch that another entry or a zone advertised."""
+        reported = self.reported.setdefault(service, {})
+        reported[source] = ReportedSketch(region, hashes, now)
 
     def sketch(
         self,
         service: ServiceName,
-        tellers: Iterable[str],
+        sources: Iterable[str],
         now: float,
     ) -> Sketch:
-        """Sketch of the own keys and of those that some others told."""
+        """Return the sketch of this entry's keys merged with some sources'."""
         hashes = self._own_hashes(service, now)
-        told = self.told.get(service, {})
-        for teller in told.keys() & set(tellers):
-            hashes.update(told[teller].hashes)
+        reported = self.reported.get(service, {})
+        for source in reported.keys() & set(sources):
+            hashes.update(reported[source].hashes)
         return _smallest(hashes)
 
     def is_shared(
@@ -89,27 +93,27 @@
         origin: RegionName,
         now: float,
     ) -> bool:
-        """Whether other regions ask for the own region's keys as well."""
-        near = self._own_hashes(service, now)
-        far: set[int] = set()
-        told = self.told.get(service, {})
-        for teller, sketch in tuple(told.items()):
-            if now - sketch.told_at > _MEMORY:
-                told.pop(teller)
+        """Whether other regions request the keys of the own region as well."""
+        local = self._own_hashes(service, now)
+        remote: set[int] = set()
+        reported = self.reported.get(service, {})
+        for source, sketch in tuple(reported.items()):
+            if now - sketch.received_at > _SKETCH_TTL:
+                reported.pop(source)
                 continue
-            known = near if sketch.region == origin else far
+            known = local if sketch.region == origin else remote
             known.update(sketch.hashes)
-        union = _smallest(near | far)
-        common = near & far & set(union)
-        return bool(union) and len(common) >= _IN_COMMON * len(union)
+        union = _smallest(local | remote)
+        overlap = local & remote & set(union)
+        return bool(union) and len(overlap) >= _MIN_OVERLAP * len(union)
 
     def _own_hashes(self, service: ServiceName, now: float) -> set[int]:
         seen = self.own.get(service, {})
         for hashed, at in tuple(seen.items()):
-            if now - at > _MEMORY:
+            if now - at > _SKETCH_TTL:
                 seen.pop(hashed)
         return set(seen)
 
 
 def _smallest(hashes: set[int]) -> Sketch:
-    return tuple(sorted(hashes)[:_SIZE])
+    return tuple(sorted(hashes)[:_SKETCH_SIZE])
--- a/worksrail/core/steering/_learning.py
+++ b/worksrail/core/steering/_learning.py
@@ -1,9 +1,12 @@
-"""What the end of an attempt teaches: distance, speed, warmth, faults."""
+"""Updates estimates from the end of an attempt.
+
+These are round-trip times, speed, warm keys, faults and reachability.
+"""
 
 from collections.abc import Iterator
 from typing import Final
 
-from worksrail.core.steering._choosing import distance
+from worksrail.core.steering._choosing import region_rtt
 from worksrail.core.steering._load import UpstreamLoad
 from worksrail.core.steering._request import SteeredRequest
 from worksrail.core.steering._warm_keys import RouteTimes
@@ -11,10 +14,10 @@
 from worksrail.core.steering.events import AttemptEnded, AttemptOutcome
 from worksrail.core.steering.state import SteeringState
 
-# Seconds after which a connection that was not made has met silence: an
-# upstream that is down, on an instance that is up, refuses sooner.
-_HUNG: Final = 0.4
-# The upstream executed the request and answered, well or badly.
+# Seconds without a connection after which a connect attempt counts as
+# unanswered: if only the upstream process is down, its machine refuses sooner.
+_CONNECT_TIMEOUT: Final = 0.4
+# Outcomes after which the upstream has executed the request.
 _EXECUTED: Final = frozenset(
     (
         AttemptOutcome.ANSWERED,
@@ -22,19 +25,19 @@
         AttemptOutcome.BROKE_IN_ANSWER,
     )
 )
-# Its zone can be reached.
+# Outcomes that show that the zone of the upstream can be reached.
 _REACHED: Final = _EXECUTED | {
     AttemptOutcome.NOT_EXECUTED,
     AttemptOutcome.OTHER_UPSTREAM,
 }
 _SERVER_ERROR: Final = 500
-# An expected time below this says nothing of an upstream's speed; seconds.
-_LEAST_EXPECTED: Final = 0.02
-# Times the expected time up to which an execution is an ordinary one, since
-# executions of one kind differ, and upstreams of one service do.
-_ORDINARY: Final = 1.5
-# Expected times after which an attempt that ends without an answer speaks
-# against its upstream, also if the caller left.
+# Minimum expected time that an execution is compared with; seconds.
+_MIN_EXPECTED: Final = 0.02
+# Multiple of the expected time up to which the variation of an execution is
+# normal: executions of one kind differ, and so do upstreams of one service.
+_NORMAL_VARIATION: Final = 1.5
+# Multiple of the expected time after which an attempt without an answer counts
+# as a failure of its upstream even if the caller disconnected.
 SILENCE_FACTOR: Final = 4.0
 
 
@@ -43,29 +46,29 @@
     request: SteeredRequest,
     event: AttemptEnded,
 ) -> Iterator[Effect]:
-    """Take in how an attempt ended; say what it changes."""
+    """Update all estimates from an attempt that has ended."""
     name = request.upstream
     load = state.loads.of(name)
-    silent = (
+    overdue = (
         event.now - request.sent_at > SILENCE_FACTOR * request.expected_time
     )
-    load.note_ended(event.now)
-    yield from _learn_reach(state, request, event)
+    load.record_end(event.now)
+    yield from _record_reachability(state, request, event)
     outcome = event.outcome
-    _learn_shares(load, event)
-    if outcome is AttemptOutcome.CANCELLED and not silent:
+    _record_rates(load, event)
+    if outcome is AttemptOutcome.CANCELLED and not overdue:
         return
     if outcome is AttemptOutcome.OTHER_UPSTREAM:
         state.catalog.mark_misdirected(name)
         yield Decision(DecisionKind.UPSTREAM_MISDIRECTED, name, event.request)
     elif outcome is AttemptOutcome.ANSWERED:
-        _learn_times(state, request, event)
+        _record_times(state, request, event)
         if event.status < _SERVER_ERROR:
-            load.note_success(event.now)
+            load.record_success(event.now)
             return
     elif outcome is AttemptOutcome.NOT_EXECUTED:
         return
-    if load.note_failure(event.now, silent=request.rerouting):
+    if load.record_failure(event.now, silent=request.rerouting):
         yield Decision(
             DecisionKind.UPSTREAM_EJECTED,
             name,
@@ -77,19 +80,19 @@
         )
 
 
-def _learn_shares(load: UpstreamLoad, event: AttemptEnded) -> None:
-    """Learn what share an upstream rejects, and how much of the rest fails."""
+def _record_rates(load: UpstreamLoad, event: AttemptEnded) -> None:
+    """Update the rejection and failure rates of an upstream."""
     outcome = event.outcome
     if outcome is AttemptOutcome.NOT_EXECUTED:
-        load.note_acceptance(event.now, rejected=True)
+        load.record_admission(event.now, rejected=True)
     elif outcome in _EXECUTED:
         failed = outcome is not AttemptOutcome.ANSWERED
         failed = failed or event.status >= _SERVER_ERROR
-        load.note_acceptance(event.now, rejected=False)
+        load.record_admission(event.now, rejected=False)
         load.record_response(event.now, failed=failed)
 
 
-def _learn_reach(
+def _record_reachability(
     state: SteeringState,
     request: SteeredRequest,
     event: AttemptEnded,
@@ -98,14 +101,14 @@
     if upstream is None:
         return
     if event.connect_time:
-        distance(state, upstream.region).add(event.connect_time)
+        region_rtt(state, upstream.region).add(event.connect_time)
     zone = upstream.record.zone
     if event.outcome in _REACHED or event.connect_time:
         state.reachability.record_reachable(zone)
         return
-    hung = event.now - request.sent_at > _HUNG
-    dark = event.outcome is AttemptOutcome.NOT_CONNECTED and hung
-    if dark or request.rerouting:
+    hung = event.now - request.sent_at > _CONNECT_TIMEOUT
+    unanswered = event.outcome is AttemptOutcome.NOT_CONNECTED and hung
+    if unanswered or request.rerouting:
         if state.reachability.record_unreachable(
             zone, upstream.name, event.now
         ):
@@ -117,7 +120,7 @@
             )
 
 
-def _learn_times(
+def _record_times(
     state: SteeringState,
     request: SteeredRequest,
     event: AttemptEnded,
@@ -125,39 +128,43 @@
     if event.status >= _SERVER_ERROR:
         return
     name = request.upstream
-    taken = event.now - request.sent_at
+    elapsed = event.now - request.sent_at
     key = request.affinity_key
-    known = not key or name in state.warm_keys.warm_at(
+    recently_served = not key or name in state.warm_keys.warm_upstreams(
         request.service, key, event.now
     )
-    times = state.warm_keys.of(request.route, request.service)
-    ratio = taken / max(request.expected_time, _LEAST_EXPECTED)
-    # Elsewhere it is not known whether other entries warmed the key.
-    telling = known == request.warm
+    times = state.warm_keys.times_of(request.route, request.service)
+    ratio = elapsed / max(request.expected_time, _MIN_EXPECTED)
+    # If the key was expected to be warm but this entry has not sent it there
+    # recently, or the other way round, it is unknown whether the key was warm:
+    # other entries may have sent it as well.
+    conclusive = recently_served == request.warm
     if key and request.warm and _may_be_cold(ratio, times):
-        telling = False
-    if telling:
-        # A cold execution where a warm one was expected is no slow upstream:
-        # taken for one, it sends keys away to where they are cold once more.
+        conclusive = False
+    if conclusive:
+        # A cold execution where a warm one was expected does not mean that the
+        # upstream is slow: if it did, keys would move to upstreams where they
+        # are cold again.
         state.loads.of(name).record_speed(ratio, event.now)
     upstream = state.catalog.upstreams.get(name)
     if upstream is None:
         return
-    executed = max(0, taken - distance(state, upstream.region).typical)
-    state.typical_time(request.service, executed).add(
-        executed / (1 + request.queue)
+    execution = max(0, elapsed - region_rtt(state, upstream.region).typical)
+    state.typical_time(request.service, execution).add(
+        execution / (1 + request.queue)
     )
-    if telling and not request.queue:
-        average = times.warm if known else times.cold
-        average.add(executed)
+    if conclusive and not request.queue:
+        average = times.warm if recently_served else times.cold
+        average.add(execution)
     if key:
-        state.warm_keys.note_served(request.service, key, name, event.now)
+        state.warm_keys.record_served(request.service, key, name, event.now)
 
 
 def _may_be_cold(ratio: float, times: RouteTimes) -> bool:
-    """Whether an upstream that has forgotten a key could take so long.
+    """Whether a key evicted from the cache would explain the time.
 
-    Then it says nothing of its speed, nor of the time of a warm execution.
+    If so, the time says nothing about the upstream's speed or the time of a
+    warm execution.
     """
-    cold = times.cold.typical / max(times.warm.typical, _LEAST_EXPECTED)
-    return _ORDINARY < ratio < cold * _ORDINARY
+    cold = times.cold.typical / max(times.warm.typical, _MIN_EXPECTED)
+    return _NORMAL_VARIATION < ratio < cold * _NORMAL_VARIATION
--- a/worksrail/core/steering/_load.py
+++ b/worksrail/core/steering/_load.py
@@ -1,4 +1,4 @@
-"""What is known of each upstream's load, speed and faults."""
+"""Load, speed and faults of each upstream, as observed by this entry."""
 
 from collections import Counter
 from collections.abc import Container, Iterable
@@ -6,224 +6,229 @@
 from math import inf
 from typing import Final
 
-# How much one answer moves the learned figures.
-_GAIN: Final = 0.2
-# The same for the share of failures: one alone says little.
-_FAILING_GAIN: Final = 0.1
-# The same for the share of rejections: an upstream with room rejects nothing.
-_REJECTING_GAIN: Final = 0.3
-# A slow upstream is tried less often; its figure fades so that it is tried
-# again.  Seconds in which the figure halves its distance to normal.
-_FADE: Final = 4.0
-# Failures in a row after which an upstream is left alone.
-_EJECT_AFTER: Final = 3
-_FIRST_EJECTION: Final = 1.0
-_LONGEST_EJECTION: Final = 8.0
-# An upstream that owes answers and gives none for so many usual times, and so
-# many seconds on top, is taken to be silent: its machine may have no power.
-_SILENT_TIMES: Final = 3.0
-_SILENT_SLACK: Final = 0.4
-# Bounds of the learned slowness.
-FASTEST: Final = 0.25
-_SLOWEST: Final = 30.0
+# Weight of a new sample in the moving averages of times and slowness.
+_EWMA_WEIGHT: Final = 0.2
+# Weight of a sample in the failure rate: a single failure says little.
+_FAILURE_WEIGHT: Final = 0.1
+# Weight of a sample in the rejection rate: an upstream with free slots rejects
+# nothing, so a single rejection says much.
+_REJECTION_WEIGHT: Final = 0.3
+# Seconds in which slowness, failure rate and rejection rate decay half of the
+# way to normal.  A bad upstream gets fewer requests and thus fewer samples;
+# without decay it would never be tried again.
+_HALF_LIFE: Final = 4.0
+# Consecutive failures after which an upstream is ejected, and the seconds of
+# its ejection, which double with each further failure.
+_EJECTION_THRESHOLD: Final = 3
+_MIN_EJECTION: Final = 1.0
+_MAX_EJECTION: Final = 8.0
+# An upstream with requests in flight counts as silent if it answers nothing
+# for this multiple of the expected time plus a margin in seconds: its machine
+# may have lost power.
+_UNANSWERED_FACTOR: Final = 3.0
+_UNANSWERED_MARGIN: Final = 0.4
+# Bounds of the slowness.
+MIN_SLOWNESS: Final = 0.25
+_MAX_SLOWNESS: Final = 30.0
 
 
 @dataclass(slots=True)
 class UpstreamLoad:
-    """Load, speed and faults of one upstream as this entry knows them."""
+    """Load, speed and faults of one upstream, as observed by this entry."""
 
     own: int = 0
-    """Requests of this entry in flight there."""
+    """Requests of this entry in flight at the upstream."""
 
     others: int = 0
-    """Requests of other entries in flight, as they told last."""
+    """Requests of other entries in flight, as last advertised by them."""
 
     slowness: float = 1
-    """Time of an execution over what is usual for its kind."""
+    """Average ratio of execution times to the expected times."""
 
     slowness_at: float = 0
-    """When ``slowness`` was learned."""
+    """When ``slowness`` was updated."""
 
     failures: int = 0
-    """Failures in a row."""
+    """Consecutive failures."""
 
-    failing: float = 0
-    """Share of its answers that were failures, as of ``failing_at``."""
+    failure_rate: float = 0
+    """Share of its answers that were failures, as of ``failure_rate_at``."""
 
-    failing_at: float = 0
-    """When that was learned."""
+    failure_rate_at: float = 0
+    """When ``failure_rate`` was updated."""
 
-    rejecting: float = 0
-    """Share of its requests that it did not execute, as of
-    ``rejecting_at``."""
+    rejection_rate: float = 0
+    """Share of requests that it rejected without executing them, as of
+    ``rejection_rate_at``."""
 
-    rejecting_at: float = 0
-    """When that was learned."""
+    rejection_rate_at: float = 0
+    """When ``rejection_rate`` was updated."""
 
     ejected_until: float = 0
-    """Until when it gets nothing."""
+    """End of the ejection; zero if it is not ejected."""
 
     last_success_at: float = -inf
-    """When a whole answer of it came last."""
+    """When its last complete answer came."""
 
     unanswered_since: float = 0
-    """Since when it owes an answer without having given one."""
+    """Start of the time without an answer while requests are in flight."""
 
     @property
     def in_flight(self) -> int:
-        """Requests of all entries in flight there."""
+        """Requests of all entries in flight at the upstream."""
         return self.own + self.others
 
     def record_sent(self, now: float) -> None:
-        """A request of this entry goes there."""
+        """Count a request of this entry as in flight."""
         if not self.own:
             self.unanswered_since = now
         self.own += 1
 
-    def note_ended(self, now: float) -> None:
-        """A request of this entry has ended there, however."""
+    def record_end(self, now: float) -> None:
+        """Count a request of this entry as ended, whatever its outcome."""
         self.own -= 1
         self.unanswered_since = now
 
-    def is_silent(self, usual: float, slots: int, now: float) -> bool:
-        """Whether it owes answers for much longer than usual.
+    def is_silent(self, expected: float, slots: int, now: float) -> bool:
+        """Whether answers are overdue by much more than the expected time.
 
-        What waits there for a slot makes each answer later.
+        Requests that queue for a slot at the upstream delay each answer.
         """
         if not self.own:
             return False
-        queued = 1 + self.in_flight / max(1, slots)
-        slow = max(1, self.current_slowness(now))
-        patience = usual * queued * slow * _SILENT_TIMES
-        return now - self.unanswered_since > patience + _SILENT_SLACK
+        queue_factor = 1 + self.in_flight / max(1, slots)
+        slowness_factor = max(1, self.current_slowness(now))
+        timeout = expected * queue_factor * slowness_factor * _UNANSWERED_FACTOR
+        return now - self.unanswered_since > timeout + _UNANSWERED_MARGIN
 
     def current_slowness(self, now: float) -> float:
-        """The learned slowness, faded by its age."""
+        """Return the slowness, decayed by its age."""
         age = now - self.slowness_at
-        return 1 + (self.slowness - 1) * 2 ** (-age / _FADE)
+        return 1 + (self.slowness - 1) * 2 ** (-age / _HALF_LIFE)
 
     def record_speed(self, ratio: float, now: float) -> None:
-        """Learn from the time of one execution over the usual time."""
-        bounded = max(FASTEST, min(_SLOWEST, ratio))
+        """Add the ratio of one execution time to the expected time."""
+        clamped = max(MIN_SLOWNESS, min(_MAX_SLOWNESS, ratio))
         current = self.current_slowness(now)
-        self.slowness = current + _GAIN * (bounded - current)
+        self.slowness = current + _EWMA_WEIGHT * (clamped - current)
         self.slowness_at = now
 
-    def failing_now(self, now: float) -> float:
-        """Share of answers that are failures, faded by its age."""
-        return _faded(self.failing, self.failing_at, now)
+    def current_failure_rate(self, now: float) -> float:
+        """Return the share of failed answers, decayed by its age."""
+        return _decayed(self.failure_rate, self.failure_rate_at, now)
 
     def record_response(self, now: float, *, failed: bool) -> None:
-        """An answer came, a success or a failure.
+        """Add an answer, a success or a failure, to the failure rate.
 
-        An upstream that fails a part of its requests may never fail so many
-        in a row that it is ejected.
+        An upstream that fails some of its requests may never have enough
+        consecutive failures to be ejected.
         """
-        current = self.failing_now(now)
-        self.failing = current + _FAILING_GAIN * (int(failed) - current)
-        self.failing_at = now
+        current = self.current_failure_rate(now)
+        self.failure_rate = current + _FAILURE_WEIGHT * (int(failed) - current)
+        self.failure_rate_at = now
 
-    def rejecting_now(self, now: float) -> float:
-        """Share of requests that it rejects, faded by its age."""
-        return _faded(self.rejecting, self.rejecting_at, now)
+    def current_rejection_rate(self, now: float) -> float:
+        """Return the share of rejected requests, decayed by its age."""
+        return _decayed(self.rejection_rate, self.rejection_rate_at, now)
 
-    def note_acceptance(self, now: float, *, rejected: bool) -> None:
-        """It executed a request, or rejected it.
+    def record_admission(self, now: float, *, rejected: bool) -> None:
+        """Add a request, executed or rejected, to the rejection rate.
 
-        An upstream that rejects a part of its requests has few in flight: by
-        its load alone it would seem to have the most room of all.
+        An upstream that rejects some of its requests has few in flight: by its
+        load alone it would look like the one with the most free slots.
         """
-        current = self.rejecting_now(now)
+        current = self.current_rejection_rate(now)
         change = int(rejected) - current
-        self.rejecting = current + _REJECTING_GAIN * change
-        self.rejecting_at = now
+        self.rejection_rate = current + _REJECTION_WEIGHT * change
+        self.rejection_rate_at = now
 
-    def note_success(self, now: float) -> None:
-        """A whole answer came."""
+    def record_success(self, now: float) -> None:
+        """Record a complete answer; ends an ejection."""
         self.failures = 0
         self.last_success_at = now
         self.ejected_until = 0
 
-    def note_failure(self, now: float, *, silent: bool = False) -> bool:
-        """No whole answer came; true if this ejects the upstream.
+    def record_failure(self, now: float, *, silent: bool = False) -> bool:
+        """Record that no complete answer came; returns whether this ejects.
 
-        Silence ejects at once: each request sent there waits in vain.
+        A silent upstream is ejected at once, since every request sent to it
+        would time out.
         """
         self.failures += 1
         if silent:
-            self.failures = max(self.failures, _EJECT_AFTER)
-        if self.failures < _EJECT_AFTER:
+            self.failures = max(self.failures, _EJECTION_THRESHOLD)
+        if self.failures < _EJECTION_THRESHOLD:
             return False
-        times = self.failures - _EJECT_AFTER
-        pause = min(_LONGEST_EJECTION, _FIRST_EJECTION * 2**times)
-        self.ejected_until = now + pause
+        exponent = self.failures - _EJECTION_THRESHOLD
+        ejection = min(_MAX_EJECTION, _MIN_EJECTION * 2**exponent)
+        self.ejected_until = now + ejection
         return True
 
 
-def _faded(share: float, learned_at: float, now: float) -> float:
-    return share * 2 ** ((learned_at - now) / _FADE)
+def _decayed(share: float, updated_at: float, now: float) -> float:
+    return share * 2 ** ((updated_at - now) / _HALF_LIFE)
 
 
 @dataclass(slots=True)
 class LatencyEwma:
-    """A moving average of times, in seconds."""
+    """An exponentially weighted moving average of times, in seconds."""
 
     typical: float
     """The average."""
 
     def add(self, seconds: float) -> None:
-        """Take in one time."""
-        self.typical += _GAIN * (seconds - self.typical)
+        """Add a sample."""
+        self.typical += _EWMA_WEIGHT * (seconds - self.typical)
 
 
 @dataclass(slots=True)
 class LoadTable:
-    """Loads of all upstreams, by identifier."""
+    """Loads of all upstreams, by the names of their incarnations."""
 
     loads: dict[str, UpstreamLoad] = field(default_factory=dict)
-    """Loads."""
+    """Loads by upstream."""
 
     reported: dict[str, dict[str, int]] = field(default_factory=dict)
-    """In flight by upstream, as each entry of the zone and each other zone
-    told last."""
+    """Requests in flight by upstream, as last advertised by each entry of the
+    own zone and by each other zone."""
 
     def of(self, name: str) -> UpstreamLoad:
-        """Load of one upstream."""
+        """Return the load of one upstream; adds it if it is new."""
         load = self.loads.get(name)
         if load is None:
             load = UpstreamLoad()
             self.loads[name] = load
         return load
 
-    def update_reported(self, teller: str, in_flight: dict[str, int]) -> None:
-        """Take in what another one tells; replaces what it told before."""
-        before = self.reported.get(teller, {})
+    def update_reported(self, source: str, in_flight: dict[str, int]) -> None:
+        """Replace the requests in flight that an entry or zone advertised."""
+        before = self.reported.get(source, {})
         for name in before.keys() | in_flight.keys():
             change = in_flight.get(name, 0) - before.get(name, 0)
             if change:
                 self.of(name).others += change
-        self.reported[teller] = in_flight
+        self.reported[source] = in_flight
 
-    def forget(self, teller: str) -> None:
-        """Another one is gone, and its requests with it."""
-        self.update_reported(teller, {})
-        self.reported.pop(teller)
+    def forget(self, source: str) -> None:
+        """Drop the requests of an entry or zone that is gone."""
+        self.update_reported(source, {})
+        self.reported.pop(source)
 
-    def total_in_flight(self, tellers: Iterable[str]) -> dict[str, int]:
-        """Requests of this entry and of some others, by upstream."""
+    def total_in_flight(self, sources: Iterable[str]) -> dict[str, int]:
+        """Return the requests of this entry and some sources, by upstream."""
         total = Counter(self.own_in_flight())
-        for teller in tellers:
-            total.update(self.reported.get(teller, {}))
+        for source in sources:
+            total.update(self.reported.get(source, {}))
         return dict(total)
 
     def own_in_flight(self) -> dict[str, int]:
-        """Requests of this entry in flight, by upstream."""
+        """Return the requests of this entry in flight, by upstream."""
         return {name: load.own for name, load in self.loads.items() if load.own}
 
     def in_flight_at(self, names: Iterable[str]) -> int:
-        """Requests of all entries in flight at some upstreams.
+        """Return the requests of all entries in flight at some upstreams.
 
-        Asked for with nearly every request, so it makes no objects.
+        Called for nearly every request, so it allocates no objects.
         """
         loads = self.loads
         return sum(
@@ -233,7 +238,7 @@
         )
 
     def keep_only(self, names: Container[str]) -> None:
-        """Drop upstreams that are gone and have nothing in flight."""
+        """Drop all other upstreams that have nothing in flight."""
         gone = [
             name
             for name, load in self.loads.items()
--- a/worksrail/core/steering/_pacing.py
+++ b/worksrail/core/steering/_pacing.py
@@ -1,4 +1,4 @@
-"""Limits that upstreams name: learnt, told, and kept with tokens."""
+"""Rate limits that upstreams name, enforced over all entries with tokens."""
 
 from collections.abc import Collection, Iterable, Iterator
 
@@ -32,7 +32,7 @@
     request: SteeredRequest,
     event: AttemptEnded,
 ) -> Iterator[Decision]:
-    """Take in what an answer says of its upstream's limit."""
+    """Update the limit of an upstream from its answer."""
     if event.limit is None:
         return
     if event.limit.rate is NoRate.UNREADABLE:
@@ -49,12 +49,12 @@
 
 def receive_named_limits(
     state: SteeringState,
-    told: Iterable[AdvertisedLimit],
+    reported: Iterable[AdvertisedLimit],
     now: float,
 ) -> Iterator[Decision]:
-    """Take in what another entry tells of limits that upstreams name."""
+    """Handle the limits of upstreams that another entry advertises."""
     known = state.catalog.upstreams
-    for change in receive_limits(state.rates.named, told, known, now):
+    for change in receive_limits(state.rates.named, reported, known, now):
         yield _decision(change)
 
 
@@ -62,7 +62,7 @@
     state: SteeringState,
     event: PacingMessageReceived,
 ) -> Iterator[Effect]:
-    """Issue tokens, or go on with the requests that waited for some."""
+    """Issue tokens, or resume the requests that waited for them."""
     now = event.now
     message = event.message
     yield from receive_named_limits(state, message.limits, now)
@@ -74,7 +74,7 @@
 
 
 def maintain_pacing(state: SteeringState, now: float) -> Iterator[Effect]:
-    """Follow who issues tokens; ask, return, and give up on who is silent."""
+    """Update the possible issuers, and request, return and expire tokens."""
     pacer = state.rates.named
     if not pacer.has_limits:
         return
@@ -90,12 +90,12 @@
     upstreams: Collection[str],
     now: float,
 ) -> Iterator[Effect]:
-    """Place the requests that waited for some upstreams, by their rank."""
+    """Place the requests that waited for some upstreams, most urgent first."""
     waiting = state.rates.waiting
     numbers = [
         number for number, upstream in waiting.items() if upstream in upstreams
     ]
-    found = [_taken(state, number) for number in numbers]
+    found = [_pop_waiting(state, number) for number in numbers]
     requests = [request for request in found if request]
     for request in sorted(requests, key=_rank):
         if request.caller_gone:
@@ -104,7 +104,7 @@
             yield from place(state, request, now)
 
 
-def _taken(
+def _pop_waiting(
     state: SteeringState,
     number: RequestNumber,
 ) -> SteeredRequest | None:
--- a/worksrail/core/steering/_placing.py
+++ b/worksrail/core/steering/_placing.py
@@ -1,4 +1,4 @@
-"""Sends a request to the upstream that is chosen, or refuses it."""
+"""Sends a request to the chosen upstream, or refuses it."""
 
 from collections.abc import Iterator
 from typing import Final
@@ -25,15 +25,16 @@
 )
 from worksrail.core.steering.state import SteeringState
 
-# Seconds for which an answer is awaited beyond the time that the upstream
-# was given: its own word that the time is over has to come back.
+# Seconds beyond the upstream's deadline for which its answer is awaited, so
+# that its own timeout answer can still arrive.
 _ANSWER_MARGIN: Final = 0.1
-# An execution that would have less time than this is not begun; seconds.
-_LEAST_TIME: Final = 0.02
-# Seconds after which callers that were refused shall come back.
-_SHORTEST_RETRY: Final = 0.2
-_LONGEST_RETRY: Final = 1.0
-_RETRY_SPREAD: Final = (0.5, 1.5)
+# Minimum seconds before the deadline for an execution to be started.
+_MIN_TIME_LEFT: Final = 0.02
+# Seconds after which refused callers are asked to retry, multiplied by a
+# random jitter and then capped.
+_BASE_RETRY_DELAY: Final = 0.2
+_MAX_RETRY_DELAY: Final = 1.0
+_RETRY_JITTER: Final = (0.5, 1.5)
 
 
 def place(
@@ -41,21 +42,21 @@
     request: SteeredRequest,
     now: float,
 ) -> Iterator[Effect]:
-    """Send a request to the best upstream, or refuse it at once."""
-    if request.deadline - now < _LEAST_TIME:
+    """Send a request, await a token for it, or refuse it."""
+    if request.deadline - now < _MIN_TIME_LEFT:
         yield from refuse(state, request, ResultCode.DEADLINE_EXPIRED, now)
         return
-    held = hold_time(state, request, now)
-    if held:
+    hold = hold_time(state, request, now)
+    if hold:
         yield from refuse(
-            state, request, ResultCode.REQUEST_HELD, now, pause=held
+            state, request, ResultCode.REQUEST_HELD, now, delay=hold
         )
         return
     choice, permission = _choose_permitted(state, request, now)
     if isinstance(choice, ResultCode):
         limited = choice is ResultCode.UPSTREAMS_LIMITED
-        pause = delay_until_token(state, request, now) if limited else 0
-        yield from refuse(state, request, choice, now, pause=pause)
+        delay = delay_until_token(state, request, now) if limited else 0
+        yield from refuse(state, request, choice, now, delay=delay)
     elif permission is Permission.TOKEN_NEEDED:
         yield from await_token(state, request, choice.upstream.name, now)
     else:
@@ -63,7 +64,7 @@
 
 
 def drop(state: SteeringState, request: SteeredRequest) -> Iterator[Effect]:
-    """End a request whose caller left while it waited to be placed."""
+    """End a request whose caller disconnected before it was sent."""
     state.requests.pop(request.number)
     if request.admitted:
         state.limits.give_back(quota_name(request.customer_name))
@@ -78,7 +79,7 @@
     request: SteeredRequest,
     now: float,
 ) -> tuple[Choice | ResultCode, Permission]:
-    """The best upstream, and whether a token of it has to be asked for."""
+    """Choose an upstream for which a token is available or can be requested."""
     while True:
         choice = choose(state, request, now)
         if isinstance(choice, ResultCode):
@@ -105,7 +106,7 @@
     request.sends += 1
     request.upstream = upstream.name
     request.sent_at = now
-    request.expected_time = choice.wait + choice.work
+    request.expected_time = choice.wait + choice.latency
     request.warm = choice.warm
     request.queue = choice.queue
     if upstream.cold_until > now:
@@ -154,17 +155,18 @@
     code: ResultCode,
     now: float,
     *,
-    pause: float = 0,
+    delay: float = 0,
 ) -> Iterator[Effect]:
-    """End a request that no upstream shall get (any more).
+    """End a request that is sent to no upstream, or to no further one.
 
-    Its caller shall come back after a pause, a usual one if none is given.
+    Its caller is asked to retry after ``delay``, or after a default one if
+    that is zero.
     """
     state.requests.pop(request.number)
     kind = DecisionKind.REQUEST_REFUSED
-    retry_after = pause or retry_delay(state)
+    retry_after = delay or retry_delay(state)
     if request.maybe_executed:
-        # Only what was never executed may be called refused.
+        # A request counts as refused only if it was certainly not executed.
         kind = DecisionKind.REQUEST_FAILED
         code = ResultCode.UPSTREAM_BROKE
         retry_after = 0
@@ -187,13 +189,13 @@
 
 
 def retry_delay(state: SteeringState) -> float:
-    """Seconds after which a refused caller shall come back."""
-    spread = state.rng.uniform(*_RETRY_SPREAD)
-    return round(min(_LONGEST_RETRY, _SHORTEST_RETRY * spread), 3)
+    """Return the default delay after which a refused caller may retry."""
+    jitter = state.rng.uniform(*_RETRY_JITTER)
+    return round(min(_MAX_RETRY_DELAY, _BASE_RETRY_DELAY * jitter), 3)
 
 
 def version_of(state: SteeringState) -> int:
-    """Version of the configuration in force; zero if there is none."""
+    """Return the version of the configuration in force; zero if none is."""
     configuration = state.configuration
     if isinstance(configuration, RoutingConfiguration):
         return configuration.version
--- a/worksrail/core/steering/_quarantining.py
+++ b/worksrail/core/steering/_quarantining.py
@@ -1,4 +1,4 @@
-"""Holds requests under which upstreams crash, and tells others of them."""
+"""Detects requests that crash upstreams, and holds them."""
 
 from collections.abc import Iterable, Iterator
 from typing import Final
@@ -26,9 +26,9 @@
     request: SteeredRequest,
     body_digest: bytes,
 ) -> Fingerprint:
-    """What a request has in common with its repetitions by the caller.
+    """Return a hash that is the same when the caller repeats the request.
 
-    The identifier and the time left are of one arrival only.
+    The identifier and the time left differ on each arrival and are left out.
     """
     head = request.head
     texts = (
@@ -46,7 +46,7 @@
     request: SteeredRequest,
     now: float,
 ) -> float:
-    """Seconds for which a request must not be sent; zero if it may be."""
+    """Return the seconds for which a request is held; zero if it is not."""
     return state.quarantine.hold_time(
         request.fingerprint, now, request.crash_number
     )
@@ -57,7 +57,10 @@
     request: SteeredRequest,
     now: float,
 ) -> Iterator[Decision]:
-    """A request is sent: what is known of it now tells what a crash means."""
+    """Record that a request is sent.
+
+    The crashes known at this moment decide how a crash of the attempt counts.
+    """
     number = state.quarantine.begin(request.fingerprint, now)
     request.crash_number = number
     if number > CRASHES_UNTIL_HELD:
@@ -69,7 +72,7 @@
     request: SteeredRequest,
     event: AttemptEnded,
 ) -> Iterator[Decision]:
-    """Take in what the end of an attempt says of the request itself."""
+    """Update the quarantine from the outcome of an attempt."""
     quarantine = state.quarantine
     if event.outcome is AttemptOutcome.ANSWERED:
         cleared = quarantine.record_response(request.fingerprint, event.now)
@@ -100,13 +103,13 @@
     crashes: Iterable[AdvertisedCrashes],
     now: float,
 ) -> Iterator[Decision]:
-    """Take in what another entry tells of requests that crash upstreams."""
-    for told in crashes:
-        if state.quarantine.receive(told, now):
+    """Handle the crashes that another entry advertises."""
+    for report in crashes:
+        if state.quarantine.receive(report, now):
             yield Decision(
                 DecisionKind.QUARANTINED,
-                label(told.fingerprint),
-                inputs=(('crashes', told.count), ('told', 1)),
+                label(report.fingerprint),
+                inputs=(('crashes', report.count), ('told', 1)),
             )
 
 
--- a/worksrail/core/steering/_rate_limits.py
+++ b/worksrail/core/steering/_rate_limits.py
@@ -1,4 +1,4 @@
-"""How many requests a second upstreams take from all entries together."""
+"""Limits on the request rates of upstreams, over all entries."""
 
 from dataclasses import dataclass, field
 from typing import Final
@@ -9,31 +9,32 @@
 from worksrail.core.steering._settings import EntrySettings
 from worksrail.core.steering.events import RequestNumber
 
-# Seconds for which a refused request leaves tokens to others as urgent.
-_URGENCY: Final = 1.0
+# Seconds after a refusal for want of a token during which less urgent requests
+# leave tokens to those of the refused priority.
+_YIELD_WINDOW: Final = 1.0
 
 
 @dataclass(slots=True)
 class UpstreamRateLimits:
-    """Limits on what single upstreams get."""
+    """Rate limits of single upstreams."""
 
     named: Pacer
-    """Upstreams that name a limit in their answers."""
+    """Limits that upstreams name in their answers."""
 
     cold: ColdLimits = field(default_factory=ColdLimits)
-    """Upstreams that have just started, or have become cold again."""
+    """Limits of upstreams that have just started or become cold again."""
 
     waiting: dict[RequestNumber, str] = field(default_factory=dict)
-    """Requests that wait for a token of an upstream."""
+    """Upstream whose token each waiting request awaits."""
 
-    refused: dict[int, float] = field(default_factory=dict)
-    """When a request of each priority was refused last for want of a token."""
+    refused_at: dict[int, float] = field(default_factory=dict)
+    """When a request was last refused for want of a token, by priority."""
 
-    def is_wanted_by_more_urgent(self, priority: int, now: float) -> bool:
+    def is_needed_by_higher_priority(self, priority: int, now: float) -> bool:
         """Whether more urgent requests were refused for want of a token."""
         return any(
-            rank < priority and now - at < _URGENCY
-            for rank, at in self.refused.items()
+            rank < priority and now - at < _YIELD_WINDOW
+            for rank, at in self.refused_at.items()
         )
 
     @classmethod
@@ -42,7 +43,7 @@
         settings: EntrySettings,
         catalog: Catalog,
     ) -> 'UpstreamRateLimits':
-        """Begin an incarnation that knows of no limit."""
+        """Create the limits of a new incarnation, which knows none yet."""
         return cls(
             Pacer(
                 settings.name,
--- a/worksrail/core/steering/_repeating.py
+++ b/worksrail/core/steering/_repeating.py
@@ -1,4 +1,4 @@
-"""Whether a request may be sent to one more upstream."""
+"""Decides whether a request may be sent to another upstream."""
 
 from typing import Final
 
@@ -7,11 +7,11 @@
 from worksrail.core.steering.events import AttemptEnded, AttemptOutcome
 from worksrail.core.steering.state import SteeringState
 
-# Attempts that do not meet the upstream they are meant for, because there is no
-# connection or another one has its address, leave the route's attempts alone:
-# where addresses change hands, callers would be refused with most of their time
-# left.  So many are made at the most.
-_MISSED_ATTEMPTS: Final = 4
+# Maximum number of attempts if some do not reach their upstream, because the
+# connection fails or another upstream has its address.  Such attempts do not
+# count against the route's maximum: while addresses are reassigned, callers
+# would otherwise be refused with most of their time left.
+_MAX_MISSED_ATTEMPTS: Final = 4
 NOT_EXECUTED: Final = frozenset(
     (
         AttemptOutcome.NOT_CONNECTED,
@@ -36,21 +36,21 @@
     request: SteeredRequest,
     event: AttemptEnded,
 ) -> str:
-    """Why a request is not sent to one more upstream; empty if it may be."""
+    """Return why a request must not be sent again; empty if it may be."""
     request.tried.add(request.last_upstream)
-    refusal = _denial_of_execution(request, event)
-    if refusal:
-        return refusal
+    denial = _denial_of_execution(request, event)
+    if denial:
+        return denial
     if hold_time(state, request, event.now):
         return 'held'
     if not event.replayable:
         return 'body not kept'
     if event.outcome in _MISSED:
         request.sends -= 1
-        if request.attempts >= _MISSED_ATTEMPTS:
+        if request.attempts >= _MAX_MISSED_ATTEMPTS:
             return 'connections'
     if event.outcome is AttemptOutcome.NOT_CONNECTED:
-        # No byte left, so nothing arrived that the budget would count.
+        # Nothing was sent, so no upstream got a repeat that the budget counts.
         return ''
     if request.sends >= request.route.max_attempts:
         return 'attempts'
@@ -58,7 +58,7 @@
 
 
 def _denial_of_execution(request: SteeredRequest, event: AttemptEnded) -> str:
-    """Why a request that may have been executed must not be once more."""
+    """Return why a second execution is not allowed; empty if it is."""
     if event.outcome in NOT_EXECUTED:
         return ''
     if event.outcome not in _REPEATABLE:
@@ -72,7 +72,7 @@
     now: float,
 ) -> bool:
     if not state.settled(now):
-        # What the others use is not known yet.
+        # The use of the budget by other entries is not known yet.
         return False
     return state.budgets.spend(
         request.service, now, preferred=_can_be_in_time(state, request, now)
@@ -84,7 +84,7 @@
     request: SteeredRequest,
     now: float,
 ) -> bool:
-    """Whether one more attempt may still be answered within the target."""
-    usual = state.typical_time(request.service, request.expected_time)
-    left = request.arrived_at + request.route.target_latency - now
-    return left >= usual.typical
+    """Whether another attempt may still be answered within the target."""
+    execution_time = state.typical_time(request.service, request.expected_time)
+    time_left = request.arrived_at + request.route.target_latency - now
+    return time_left >= execution_time.typical
--- a/worksrail/core/steering/_ring.py
+++ b/worksrail/core/steering/_ring.py
@@ -1,10 +1,11 @@
-"""A ring of hashes: which upstream is nearest to a key.
+"""A consistent hash ring that maps keys to upstreams.
 
 Multi-probe consistent hashing (Appleton and O'Reilly, 2015): each upstream has
-a point for each of its slots, a key is looked for from several places, and the
-point that follows closest on one of them owns it.  A look-up takes as long as
-the logarithm of the points; to score every upstream for every key, as plain
-rendezvous hashing does, takes 3 ms of an entry for each key at 600 upstreams.
+one point on the ring for each of its slots, and a key is hashed to several
+probes.  The point with the least distance after any probe owns the key.  A
+look-up takes logarithmic time in the number of points.  Plain rendezvous
+hashing, which scores every upstream for every key, takes 3 ms for each key at
+600 upstreams.
 """
 
 from bisect import bisect_left
@@ -16,17 +17,17 @@
 
 from worksrail.core.steering._catalog import Upstream
 
-# Places from which a key is looked for: with 21 the busiest upstream of many
-# has 1.05 times its part of the keys, with one several times (the paper).
+# Probes of a key: with 21 of them the busiest of many upstreams has 1.05 times
+# its part of the keys, with a single one several times (see the paper).
 _PROBES: Final = 21
-# Hashes are whole numbers of 64 bits; so many there are.
-HASHES: Final = 2 ** (8 * 8)
+# Number of different hashes, which have 64 bits.
+HASH_SPACE: Final = 2 ** (8 * 8)
 
 Probes = tuple[int, ...]
 
 
 def probes_of(key: str) -> Probes:
-    """Places on the ring from which a key is looked for."""
+    """Return the positions on the ring from which a key is looked up."""
     encoded = key.encode()
     return tuple(
         xxhash.xxh64_intdigest(encoded, seed) for seed in range(_PROBES)
@@ -35,44 +36,45 @@
 
 @dataclass(frozen=True, slots=True)
 class Ring:
-    """The points of some upstreams, in order."""
+    """A hash ring of some upstreams."""
 
     points: list[int]
-    """All points."""
+    """Positions of all points, sorted."""
 
     owners: dict[int, str]
-    """Name of the upstream that a point belongs to."""
+    """Name of the upstream that each point belongs to."""
 
     @classmethod
     def from_upstreams(cls, upstreams: Iterable[Upstream]) -> 'Ring':
-        """Give each upstream a point for each slot."""
+        """Create a ring with a point for each slot of each upstream."""
         owners: dict[int, str] = {}
         for upstream in upstreams:
             record = upstream.record
             for slot in range(record.slots):
-                # An upstream keeps its points when it starts again.
+                # The identifier, not the name of the incarnation: an upstream
+                # keeps its points when it restarts.
                 place = f'{record.discovery_id}|{slot}'.encode()
                 owners[xxhash.xxh64_intdigest(place)] = upstream.name
         return cls(sorted(owners), owners)
 
     def nearest(self, probes: Probes) -> Iterator[str]:
-        """Names of upstreams, the nearest first; each comes once."""
+        """Yield the name of each upstream once, the nearest first."""
         if not self.points:
             return
-        told: set[str] = set()
+        seen: set[str] = set()
         for _, index in sorted(self._after(probe) for probe in probes):
             name = self.owners[self.points[index]]
-            if name not in told:
-                told.add(name)
+            if name not in seen:
+                seen.add(name)
                 yield name
-        # Few upstreams: what no place led to follows in the order of the ring.
+        # Upstreams that no probe led to follow in the order of the ring.
         for point in self.points:
             name = self.owners[point]
-            if name not in told:
-                told.add(name)
+            if name not in seen:
+                seen.add(name)
                 yield name
 
     def _after(self, probe: int) -> tuple[int, int]:
-        """How far the next point is, and its index."""
+        """Return the distance from a probe to the next point, and its index."""
         index = bisect_left(self.points, probe) % len(self.points)
-        return (self.points[index] - probe) % HASHES, index
+        return (self.points[index] - probe) % HASH_SPACE, index
--- a/worksrail/core/steering/_splits.py
+++ b/worksrail/core/steering/_splits.py
@@ -1,4 +1,4 @@
-"""Traffic splits: which service a request of a split route goes to."""
+"""Traffic splits: selects the service for each request of a split route."""
 
 from dataclasses import dataclass, field
 
@@ -8,12 +8,12 @@
 
 @dataclass(slots=True)
 class SplitCounter:
-    """Keeps each part of a split at its weight, request by request.
+    """Distributes the requests of one split route by the weights of its parts.
 
-    Smooth weighted round robin: every part gains its weight, the part with
-    most goes next and pays the sum.  After any number of requests each part
-    is within one request of its share, and a part that has no room does not
-    hand its requests to another.
+    Smooth weighted round robin: on each request every part gains its weight in
+    credit; the part with the most credit is selected and pays the sum of the
+    weights.  After any number of requests each part is within one request of
+    its share, also when a part has no free slots.
 
     >>> counter = SplitCounter()
     >>> parts = (ServiceWeight('a', 2), ServiceWeight('b', 1))
@@ -22,10 +22,10 @@
     """
 
     credit: dict[ServiceName, float] = field(default_factory=dict)
-    """What each part is owed."""
+    """Credit of each part."""
 
     def next_part(self, parts: tuple[ServiceWeight, ...]) -> ServiceName:
-        """The service that the next request goes to."""
+        """Select the service for the next request."""
         total = float(0)
         best = ''
         for part in parts:
@@ -40,15 +40,15 @@
 
 @dataclass(slots=True)
 class Splits:
-    """A counter for each split route."""
+    """Split counters of all routes."""
 
     counters: dict[tuple[str, tuple[ServiceWeight, ...]], SplitCounter] = field(
         default_factory=dict
     )
-    """Counters by route name and parts; new weights start anew."""
+    """Counters by route name and parts; new weights get a new counter."""
 
     def choose(self, route: Route) -> ServiceName:
-        """The service that the next request of a route goes to."""
+        """Select the service for the next request of a route."""
         if len(route.parts) == 1:
             return route.parts[0].service
         key = (route.name, route.parts)
@@ -59,5 +59,5 @@
         return counter.next_part(route.parts)
 
     def forget_all(self) -> None:
-        """Start anew, as after a new configuration."""
+        """Drop all counters, as after a new configuration."""
         self.counters.clear()
--- a/worksrail/core/steering/_tokens.py
+++ b/worksrail/core/steering/_tokens.py
@@ -1,4 +1,4 @@
-"""Whether a request may go to an upstream that names a limit."""
+"""Tokens for requests to upstreams that name a rate limit."""
 
 from collections.abc import Iterator
 from typing import Final
@@ -13,14 +13,14 @@
 )
 from worksrail.core.steering.state import SteeringState
 
-# Tokens that a request asks for, if answers are lost or some are denied: a
-# service may have hundreds of upstreams with limits.
-_MOST_ASKED: Final = 3
+# Maximum number of tokens that one request asks for if replies are lost or
+# tokens are denied: a service may have hundreds of upstreams with limits.
+_MAX_TOKENS_ASKED: Final = 3
 
 
 def may_ask_for_token(request: SteeredRequest) -> bool:
     """Whether a request may still ask for a token."""
-    return request.tokens_requested < _MOST_ASKED
+    return request.tokens_requested < _MAX_TOKENS_ASKED
 
 
 def obtain_token(
@@ -29,7 +29,7 @@
     upstream: str,
     now: float,
 ) -> Permission:
-    """Whether a request may go to an upstream, with a token if it needs one."""
+    """Obtain permission to send to an upstream, and a token if it needs one."""
     pacer = state.rates.named
     if pacer.permission(upstream, now) is Permission.TOKEN_NEEDED:
         request.tokens_requested += 1
@@ -42,7 +42,7 @@
     upstream: str,
     now: float,
 ) -> Iterator[Effect]:
-    """Let a request wait for a token of an upstream."""
+    """Make a request wait for a token of an upstream."""
     state.rates.waiting[request.number] = upstream
     yield Decision(DecisionKind.TOKEN_AWAITED, upstream, request.number)
     yield from send_token_requests(state, now, for_all=False)
@@ -54,7 +54,7 @@
     *,
     for_all: bool = True,
 ) -> Iterator[SendPacingMessage]:
-    """Ask for the tokens that are wanted, and return those not used."""
+    """Request the tokens that are needed, and return unused ones."""
     for addressed in state.rates.named.make_requests(now, for_all=for_all):
         yield SendPacingMessage(addressed.peer, addressed.request)
 
@@ -64,6 +64,6 @@
     request: SteeredRequest,
     now: float,
 ) -> float:
-    """Seconds until a token is expected at any upstream of the service."""
+    """Return the seconds until any upstream of the service has a token."""
     names = state.catalog.names_of(request.service)
     return min((state.rates.named.wait(name, now) for name in names), default=0)
