--- a/tests/budgets/test_giving_way.py
+++ b/tests/budgets/test_giving_way.py
@@ -5,12 +5,12 @@
 from worksrail.core.budgets import (
     BudgetBounds,
     BudgetUse,
-    Others,
+    PeerView,
     SharedBudget,
 )
 
 _WINDOW: Final = 10
-_ALONE: Final = Others(BudgetUse())
+_ALONE: Final = PeerView(BudgetUse())
 
 
 def test_what_was_sent_stays_told_though_requests_become_fewer() -> None:
@@ -34,7 +34,7 @@
     budget.maintain(_WINDOW, _ALONE)
     assert budget.spend(_WINDOW, _ALONE)
     budget.give_back(_WINDOW)
-    others = Others(BudgetUse(reserved=100), instances=2)
+    others = PeerView(BudgetUse(reserved=100), instances=2)
     budget.maintain(_WINDOW + 0.1, others)
-    assert budget.free(_WINDOW + 0.1)
+    assert budget.available(_WINDOW + 0.1)
     assert not budget.spend(_WINDOW + 0.1, others)
--- a/tests/budgets/test_parts.py
+++ b/tests/budgets/test_parts.py
@@ -8,7 +8,7 @@
     AdvertisedBudgets,
     BudgetBounds,
     BudgetUse,
-    Others,
+    PeerView,
     SharedBudget,
     SharedBudgets,
 )
@@ -24,15 +24,17 @@
 # Another instance with as many requests.
 _PARTS: Final = (round(_RATE * _WINDOW / 8),) * 12
 _QUIET: Final = BudgetUse(_PARTS, load=_RATE)
-_TWO: Final = Others(_QUIET, instances=2)
-_WANTING: Final = Others(BudgetUse(_PARTS, load=_RATE, wanting=_RATE), 2)
+_TWO: Final = PeerView(_QUIET, instances=2)
+_WANTING: Final = PeerView(
+    BudgetUse(_PARTS, load=_RATE, constrained_load=_RATE), 2
+)
 
 
 def _tend(
     budget: SharedBudget,
     begin: float,
     end: float,
-    others: Others = _TWO,
+    others: PeerView = _TWO,
     rate: int = _RATE,
 ) -> float:
     """Let requests come at an even rate; tells the time."""
@@ -52,12 +54,12 @@
     budget, now = _settled()
     assert _KEPT * _HALF <= budget.reserved <= _HALF
     assert budget.use(now).reserved == budget.reserved
-    assert not budget.use(now).wanting
+    assert not budget.use(now).constrained_load
 
 
 def test_nothing_is_reserved_while_it_is_unknown_who_uses_the_budget() -> None:
     budget = SharedBudget.from_bounds(_BOUNDS, seed=1)
-    unknown = Others(_QUIET, instances=2, covered=False)
+    unknown = PeerView(_QUIET, instances=2, complete=False)
     _tend(budget, 0, 2 * _WINDOW, unknown)
     assert not budget.reserved
 
@@ -84,7 +86,7 @@
 
 
 def test_parts_of_two_are_within_what_is_allowed() -> None:
-    others = Others(
+    others = PeerView(
         BudgetUse(_PARTS, reserved=1.5 * _HALF, load=_RATE), instances=2
     )
     budget = SharedBudget.from_bounds(_BOUNDS, seed=1)
@@ -93,8 +95,8 @@
 
 
 def test_life_that_ends_keeps_its_part_in_the_sum() -> None:
-    one = SharedBudgets.begin(_BOUNDS, covered_from=-_WINDOW)
-    other = SharedBudgets.begin(_BOUNDS, covered_from=-_WINDOW)
+    one = SharedBudgets.begin(_BOUNDS, known_since=-_WINDOW)
+    other = SharedBudgets.begin(_BOUNDS, known_since=-_WINDOW)
     for budgets in (one, other):
         budgets.set_fleet_size(2, 2)
     for tick in range(round(2 * _WINDOW / _TICK)):
@@ -108,22 +110,22 @@
     part = one.advertise(now).used['orders'].reserved
     assert part >= _KEPT * _HALF
     other.receive(Incarnation('one', 2), AdvertisedBudgets(), now + 1)
-    assert other.others('orders', now + 1).use.reserved >= part
+    assert other.peer_view('orders', now + 1).use.reserved >= part
     after = now + _WINDOW + 1
     other.maintain(after)
-    assert not other.others('orders', after).use.reserved
+    assert not other.peer_view('orders', after).use.reserved
 
 
 def test_more_goes_to_one_whose_wish_all_others_know() -> None:
-    free = Others(_QUIET, instances=2)
+    free = PeerView(_QUIET, instances=2)
     budget, now = _settled()
     budget.reserved = 0
     shares = []
     for wished in (0.5, 1.5):
-        budget.wished_at = now
-        budget.wanting_since = now - wished
-        budget.raised.parts.clear()
-        budget.raised.sum = 0
+        budget.constrained_at = now
+        budget.constrained_since = now - wished
+        budget.reserved_in_round.parts.clear()
+        budget.reserved_in_round.sum = 0
         budget.reserved = 0
         while budget.spend(now, free):
             pass
@@ -135,9 +137,9 @@
 
 def test_requests_that_move_here_are_not_counted_twice() -> None:
     budget, now = _settled()
-    moved = Others(BudgetUse(_PARTS, load=0), instances=2)
+    moved = PeerView(BudgetUse(_PARTS, load=0), instances=2)
     late = 0.2 * _RATE * 0.45
-    change = budget.left(now, _TWO) - budget.left(now, moved)
+    change = budget.unreserved(now, _TWO) - budget.unreserved(now, moved)
     assert change == pytest.approx(late, rel=0.1)
 
 
@@ -157,5 +159,5 @@
     came: tuple[int, ...], sent: tuple[int, ...], unsent: int, left: int
 ) -> None:
     use = BudgetUse(came, unsent + sum(sent), sent=sent)
-    spans = [requests - repeats for requests, repeats in use.spans()]
+    spans = [requests - repeats for requests, repeats in use.open_windows()]
     assert min(spans) == left
--- a/tests/limits/test_faults_are_noticed.py
+++ b/tests/limits/test_faults_are_noticed.py
@@ -65,7 +65,7 @@
     ),
     'entries that report nothing': (_set(SharedLimits, 'tick', _nothing), ()),
     'entries that never take a shortage for one': (
-        _set(Account, 'take_standing', _nothing),
+        _set(Account, 'apply_status', _nothing),
         (),
     ),
     'entries that own everything when they are cut off': (
@@ -73,11 +73,11 @@
         _CUT,
     ),
     'owners that begin with what would be there after a minute': (
-        _set(_owner, '_FIRST_LEVEL', 60.0),
+        _set(_owner, '_INITIAL_SECONDS', 60.0),
         (Fault(4, FaultKind.KILL, 0.6), Fault(5.3, FaultKind.KILL, 0.6)),
     ),
     'an allowance as large as the limit': (
-        _set(_accounts, 'SILENT_SHARE', 45.0),
+        _set(_accounts, 'UNREACHABLE_SHARE', 45.0),
         _CUT,
     ),
 }
@@ -96,12 +96,12 @@
 _LATE_CUT = (Fault(12, FaultKind.CUT, 0.35, 6),)
 _REFUSE: dict[str, tuple[Patch, tuple[Fault, ...], float]] = {
     'owners that begin in debt': (
-        _set(_owner, '_FIRST_LEVEL', -3.0),
+        _set(_owner, '_INITIAL_SECONDS', -3.0),
         _KILLED,
         10,
     ),
     'an allowance that does not know the usual use': (
-        _set(_accounts, '_LEEWAY', 0.0),
+        _set(_accounts, '_ALLOWANCE_FACTOR', 0.0),
         _LATE_CUT,
         18,
     ),
--- a/worksrail/core/budgets/__init__.py
+++ b/worksrail/core/budgets/__init__.py
@@ -1,33 +1,33 @@
-"""Budgets of repeats that all instances share, summed up over the fleet.
+"""Retry budgets that all instances share, enforced over the whole fleet.
 
-Each instance tells the others how many requests came to it and how many
-repeats it has reserved; each reserves more only out of what the sum leaves.
+Each instance advertises how many requests it received and how many retries it
+has reserved, and reserves more only out of what the fleet's sum leaves.
 """
 
 from worksrail.core.budgets._accounts import (
-    NEWS_TIME,
-    TRAVEL_TIME,
-    Account,
-    Accounts,
+    PROPAGATION_TIME,
+    TRANSIT_TIME,
+    PeerReport,
+    PeerReports,
 )
 from worksrail.core.budgets._advertised import AdvertisedBudgets, BudgetUse
 from worksrail.core.budgets._budget import (
     BudgetBounds,
-    Others,
+    PeerView,
     SharedBudget,
 )
 from worksrail.core.budgets._shared import FleetUse, SharedBudgets
 
 __all__ = (
-    'NEWS_TIME',
-    'TRAVEL_TIME',
-    'Account',
-    'Accounts',
+    'PROPAGATION_TIME',
+    'TRANSIT_TIME',
     'AdvertisedBudgets',
     'BudgetBounds',
     'BudgetUse',
     'FleetUse',
-    'Others',
+    'PeerReport',
+    'PeerReports',
+    'PeerView',
     'SharedBudget',
     'SharedBudgets',
 )
--- a/worksrail/core/budgets/_accounts.py
+++ b/worksrail/core/budgets/_accounts.py
@@ -1,4 +1,4 @@
-"""What the other instances use of shared budgets, as they told it."""
+"""Use of shared budgets by the other instances, from what they advertise."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
@@ -10,203 +10,216 @@
     REQUEST_PARTS,
     AdvertisedBudgets,
     BudgetUse,
-    Sum,
-    total,
+    UseSum,
+    total_use,
 )
-from worksrail.core.budgets._sliding_count import TOLD_PARTS
+from worksrail.core.budgets._sliding_count import ADVERTISED_PARTS
 from worksrail.core.identity import Incarnation, ServiceName
 
-# Seconds within which news of an instance reaches all others, as a rule: a
+# Seconds within which a change at one instance normally reaches all others: one
 # digest in its zone, one to the other zones and one within these.
-NEWS_TIME: Final = 0.9
-# Seconds without news after which what an instance used is told for it.
-_GONE_AFTER: Final = 2.0
-# Seconds that a repeat may take to its upstream.
-TRAVEL_TIME: Final = 0.3
-_NOTHING: Final = BudgetUse()
+PROPAGATION_TIME: Final = 0.9
+# Seconds of silence after which an instance's use is advertised on its behalf.
+_DEPARTED_AFTER: Final = 2.0
+# Seconds that a retry may take to reach its upstream.
+TRANSIT_TIME: Final = 0.3
+_NO_USE: Final = BudgetUse()
 
 
 @dataclass(frozen=True, slots=True)
-class Room:
-    """What any instance may have reserved unheard, when it was heard last."""
+class ReservationBound:
+    """Upper bound of what an instance may have reserved since its report."""
 
-    by_load: float
-    """Repeats for each request a second of its own."""
+    per_load: float
+    """Retries for each request per second of its own load."""
 
-    by_wanting: float
-    """Repeats besides for each of them, if it wants more."""
+    per_constrained_load: float
+    """Additional retries for each of them if it needs more."""
 
-    def unheard(self, use: BudgetUse) -> float:
-        """What a teller may have reserved since it told its use."""
-        return use.load * self.by_load + use.wanting * self.by_wanting
+    def max_unreported(self, use: BudgetUse) -> float:
+        """Return how much a sender may have reserved since it reported."""
+        return (
+            use.load * self.per_load
+            + use.constrained_load * self.per_constrained_load
+        )
 
 
-_NO_ROOM: Final = Room(0, 0)
-_NOBODY: Final = Incarnation('', 0)
-Rooms = Mapping[ServiceName, Room]
+_ZERO_BOUND: Final = ReservationBound(0, 0)
+_UNKNOWN_SENDER: Final = Incarnation('', 0)
+ReservationBounds = Mapping[ServiceName, ReservationBound]
 
 
 @dataclass(slots=True)
-class Account:
-    """What one teller said last."""
+class PeerReport:
+    """Latest advertisement of one sender."""
 
-    told: AdvertisedBudgets
-    """Its words."""
+    advertised: AdvertisedBudgets
+    """Its content."""
 
     received_at: float
-    """When they came."""
+    """When it was received."""
 
-    who: Incarnation = _NOBODY
-    """The instance that said them, in which life of it."""
+    who: Incarnation = _UNKNOWN_SENDER
+    """The instance that sent it, and its incarnation."""
 
-    near: bool = True
-    """It is an instance of the own zone."""
+    same_zone: bool = True
+    """Whether the sender is an instance of the own zone."""
 
-    rooms: Rooms = field(default_factory=dict)
-    """What it may have reserved since, by service."""
+    reservation_bounds: ReservationBounds = field(default_factory=dict)
+    """What the sender may have reserved since, by service."""
 
-    replaced: bool = False
-    """Another one tells under its name, and knows less of the past."""
+    superseded: bool = False
+    """Whether another sender, which covers less of the past, now uses the same
+    name."""
 
-    def is_silent(self, now: float, limit: float = NEWS_TIME) -> bool:
-        """Whether nothing was heard of it for some time."""
-        return self.replaced or now - self.received_at > limit
+    def is_silent(self, now: float, limit: float = PROPAGATION_TIME) -> bool:
+        """Whether the sender has been silent for some time."""
+        return self.superseded or now - self.received_at > limit
 
-    def covered(self, now: float) -> float:
-        """Seconds for which it has known who else uses the budgets."""
-        return self.told.covered + now - self.received_at
+    def coverage(self, now: float) -> float:
+        """Return for how long the sender has known all users, in seconds."""
+        return self.advertised.coverage + now - self.received_at
 
     def use(self, service: ServiceName, window: float, now: float) -> BudgetUse:
-        """What it uses of a budget by now, as far as that is known.
+        """Return the sender's present use of a budget, as far as known.
 
-        A silent one may have sent what it had reserved just afterwards.
+        A silent sender may have sent all it had reserved right after its
+        report.
         """
-        use = self.told.used.get(service, _NOTHING)
+        use = self.advertised.used.get(service, _NO_USE)
         age = now - self.received_at
         if not self.is_silent(now):
             return use
-        # Parts that lie in the window in part count as sent, not as come.
-        past = int(TOLD_PARTS * max(0, age - TRAVEL_TIME) / window)
-        sent = sum(use.sent[max(0, TOLD_PARTS - past) :])
-        later = ceil(TOLD_PARTS * age / window)
-        came = (*repeat(0, later), *use.came)[:REQUEST_PARTS]
-        unheard = self.rooms.get(service, _NO_ROOM).unheard(use)
+        # A part that overlaps the window's edge counts for retries, but not for
+        # requests.
+        past = int(ADVERTISED_PARTS * max(0, age - TRANSIT_TIME) / window)
+        sent = sum(use.sent[max(0, ADVERTISED_PARTS - past) :])
+        later = ceil(ADVERTISED_PARTS * age / window)
+        arrived = (*repeat(0, later), *use.arrived)[:REQUEST_PARTS]
+        unreported = self.reservation_bounds.get(
+            service, _ZERO_BOUND
+        ).max_unreported(use)
         return BudgetUse(
-            came,
-            use.reserved - sent + unheard,
+            arrived,
+            use.reserved - sent + unreported,
         )
 
 
 @dataclass(slots=True)
-class Accounts:
-    """What all other instances use, by who tells of it.
+class PeerReports:
+    """Use by all other instances, by the sender that advertised it.
 
-    >>> accounts = Accounts(window=10)
-    >>> told = AdvertisedBudgets(9, {'orders': BudgetUse(reserved=3)})
-    >>> accounts.take('one', Account(told, received_at=0))
-    >>> accounts.use('orders', now=0.1).reserved
+    >>> reports = PeerReports(window=10)
+    >>> advertised = AdvertisedBudgets(9, {'orders': BudgetUse(reserved=3)})
+    >>> reports.store('one', PeerReport(advertised, received_at=0))
+    >>> reports.use('orders', now=0.1).reserved
     3
     """
 
     window: float
-    """Seconds in which requests and repeats are counted."""
+    """Seconds in which requests and retries are counted."""
 
-    by_teller: dict[str, Account] = field(default_factory=dict)
-    """The last words of each teller."""
+    by_sender: dict[str, PeerReport] = field(default_factory=dict)
+    """Latest report of each sender."""
 
-    def take(self, teller: str, account: Account) -> None:
-        """Take in what a teller says.
+    def store(self, sender: str, report: PeerReport) -> None:
+        """Store the report of a sender.
 
-        One that knows less of the past than the teller before, under the same
-        name, does not replace what that one said.  While that is fresh, and not
-        of an earlier life, it is one that has not met its zone yet.
+        A report that covers less of the past than the previous one under the
+        same name does not replace it.  If the previous one is recent and not
+        of an earlier incarnation, the new report is ignored: its sender has
+        not yet received the state of its zone.
         """
-        now = account.received_at
-        known = self.by_teller.get(teller)
-        if known and self._knows_more(known, account):
-            if not known.is_silent(now, _GONE_AFTER):
-                if not _has_restarted(known, account):
+        now = report.received_at
+        known = self.by_sender.get(sender)
+        if known and self._covers_more(known, report):
+            if not known.is_silent(now, _DEPARTED_AFTER):
+                if not _has_restarted(known, report):
                     return
-            known.replaced = True
-            self.by_teller[f'{teller} until {now}'] = known
-        self.by_teller[teller] = account
+            known.superseded = True
+            self.by_sender[f'{sender} until {now}'] = known
+        self.by_sender[sender] = report
 
-    def forget(self, now: float) -> None:
-        """Drop what cannot matter any more."""
-        longest = max(self.window, NEWS_TIME) + TRAVEL_TIME
-        for teller, account in tuple(self.by_teller.items()):
-            if now - account.received_at > longest:
-                self.by_teller.pop(teller)
+    def prune(self, now: float) -> None:
+        """Drop reports that are too old to matter."""
+        longest = max(self.window, PROPAGATION_TIME) + TRANSIT_TIME
+        for sender, report in tuple(self.by_sender.items()):
+            if now - report.received_at > longest:
+                self.by_sender.pop(sender)
 
     def services(self) -> set[ServiceName]:
-        """Services whose budgets somebody uses."""
+        """Return the services whose budgets are in use by peers."""
         return {
             service
-            for account in self.by_teller.values()
-            for service in account.told.used | account.told.gone
+            for report in self.by_sender.values()
+            for service in report.advertised.used | report.advertised.departed
         }
 
     def use(
-        self, service: ServiceName, now: float, *, near: bool = False
+        self, service: ServiceName, now: float, *, same_zone: bool = False
     ) -> BudgetUse:
-        """What all of them use of a budget, or those of the own zone."""
-        fresh, silent, inherited = Sum(), Sum(), _NOTHING
-        for account in self._tellers(near=near):
-            if account.is_silent(now):
-                silent.add(account.use(service, self.window, now))
+        """Return the use of a budget by all peers, or by those of the zone."""
+        fresh, silent, inherited = UseSum(), UseSum(), _NO_USE
+        for report in self._reports(same_zone=same_zone):
+            if report.is_silent(now):
+                silent.add(report.use(service, self.window, now))
                 continue
-            used = account.told.used.get(service)
+            used = report.advertised.used.get(service)
             if used:
                 fresh.add(used)
-            gone = account.told.gone.get(service)
-            if gone and gone.reserved > inherited.reserved:
-                inherited = gone
-        # Others may know of instances that were gone before this one began.
+            departed = report.advertised.departed.get(service)
+            if departed and departed.reserved > inherited.reserved:
+                inherited = departed
+        # Peers may know of instances that departed before this one started.
         fresh.add(max(silent.use(), inherited, key=_reserved))
         return fresh.use()
 
-    def gone(
+    def departed(
         self,
         services: Iterable[ServiceName],
         now: float,
         *,
         far_only: bool = False,
     ) -> dict[ServiceName, BudgetUse]:
-        """What those that are silent for long may still use."""
+        """Return the use that may be left of senders silent for long."""
         silent = [
-            account
-            for account in self.by_teller.values()
-            if account.is_silent(now, _GONE_AFTER)
-            and not (far_only and account.near)
+            report
+            for report in self.by_sender.values()
+            if report.is_silent(now, _DEPARTED_AFTER)
+            and not (far_only and report.same_zone)
         ]
         uses = {
-            service: total(one.use(service, self.window, now) for one in silent)
+            service: total_use(
+                one.use(service, self.window, now) for one in silent
+            )
             for service in services
         }
         return {name: use for name, use in uses.items() if use.reserved}
 
-    def covered(self, now: float, *, near: bool = False) -> float:
-        """Seconds back to which any teller that can be heard knows."""
-        heard = [
-            account.covered(now)
-            for account in self._tellers(near=near)
-            if not account.is_silent(now)
+    def coverage(self, now: float, *, same_zone: bool = False) -> float:
+        """Return the longest coverage of any sender that is not silent."""
+        coverages = [
+            report.coverage(now)
+            for report in self._reports(same_zone=same_zone)
+            if not report.is_silent(now)
         ]
-        return max(heard, default=0)
+        return max(coverages, default=0)
 
-    def _tellers(self, *, near: bool) -> list[Account]:
-        accounts = self.by_teller.values()
-        return [one for one in accounts if one.near or not near]
+    def _reports(self, *, same_zone: bool) -> list[PeerReport]:
+        reports = self.by_sender.values()
+        return [
+            report for report in reports if report.same_zone or not same_zone
+        ]
 
-    def _knows_more(self, known: Account, account: Account) -> bool:
-        if known.near and _has_restarted(known, account):
+    def _covers_more(self, known: PeerReport, report: PeerReport) -> bool:
+        if known.same_zone and _has_restarted(known, report):
             return True
-        covered = min(self.window, known.covered(account.received_at))
-        return covered > account.told.covered + NEWS_TIME
+        coverage = min(self.window, known.coverage(report.received_at))
+        return coverage > report.advertised.coverage + PROPAGATION_TIME
 
 
-def _has_restarted(known: Account, account: Account) -> bool:
-    before, after = known.who, account.who
+def _has_restarted(known: PeerReport, report: PeerReport) -> bool:
+    before, after = known.who, report.who
     return before.name == after.name and before.number != after.number
 
 
--- a/worksrail/core/budgets/_advertised.py
+++ b/worksrail/core/budgets/_advertised.py
@@ -1,4 +1,4 @@
-"""What instances tell each other of the budgets that they share."""
+"""Use of shared retry budgets, as instances advertise it to each other."""
 
 from collections.abc import Iterable, Iterator, Sequence
 from dataclasses import dataclass, field
@@ -7,138 +7,144 @@
 
 import msgspec
 
-from worksrail.core.budgets._sliding_count import TOLD_PARTS
+from worksrail.core.budgets._sliding_count import ADVERTISED_PARTS
 from worksrail.core.identity import ServiceName
 
-REQUEST_PARTS: Final = TOLD_PARTS + TOLD_PARTS // 2
-"""Parts of windows in which requests are counted: a window and a half."""
-_QUARTER: Final = TOLD_PARTS // 4
+REQUEST_PARTS: Final = ADVERTISED_PARTS + ADVERTISED_PARTS // 2
+"""Number of parts for which requests are counted: a window and a half."""
+_QUARTER: Final = ADVERTISED_PARTS // 4
 
 
 class BudgetUse(msgspec.Struct, frozen=True, array_like=True):
-    """How much of one service's budget is in use, as its teller knows."""
+    """Use of one service's budget, as known to the sender."""
 
-    came: tuple[int, ...] = ()
-    """Requests for the service in each part of the window and in those before
-    it that count as well, the latest first."""
+    arrived: tuple[int, ...] = ()
+    """Requests for the service by part of the window, the latest first,
+    followed by the earlier parts that still count."""
 
     reserved: float = 0
-    """Repeats that may be sent within each window."""
+    """Retries that may be sent within each window."""
 
     load: float = 0
-    """Requests a second that come now."""
+    """Current requests per second."""
 
-    wanting: float = 0
-    """Those of them that come to instances which want more repeats."""
+    constrained_load: float = 0
+    """Share of ``load`` at instances that need more retries than they have
+    reserved, requests per second."""
 
     sent: tuple[int, ...] = ()
-    """Repeats that were sent in each part of the window, the latest first."""
+    """Retries sent by part of the window, the latest first."""
 
     @property
     def requests(self) -> int:
-        """Requests that repeats are allowed for.
+        """Number of requests that allow retries.
 
-        Those of the window that ends now, or of the one that ended a quarter
-        before, whichever are fewer.  Requests at both ends of a window would
-        else be added up, though no window that begins in its midst has both.
+        It is the lower of two counts: of the window that ends now and of the
+        one that ended a quarter of a window ago.  Otherwise requests at both
+        ends of a window would be added up, although no window that begins in
+        its middle contains both.
         """
         return min(
-            sum(self.came[:TOLD_PARTS]),
-            sum(self.came[_QUARTER : _QUARTER + TOLD_PARTS]),
+            sum(self.arrived[:ADVERTISED_PARTS]),
+            sum(self.arrived[_QUARTER : _QUARTER + ADVERTISED_PARTS]),
         )
 
-    def spans(self) -> Iterator[tuple[int, float]]:
-        """Requests and repeats of windows that may still go on.
+    def open_windows(self) -> Iterator[tuple[int, float]]:
+        """Yield requests and retries of the windows that may still be open.
 
         For each number of parts that a window may have lasted by now: the
-        requests that it, the one half a window before or the one before it
-        have at the least, and the repeats that may be sent in it.
+        minimum number of requests in it, in the one half a window earlier or
+        in the one before it, and the retries that may be sent in it.
         """
-        unsent = max(0, self.reserved - sum(self.sent[:TOLD_PARTS]))
-        for parts in range(TOLD_PARTS + 1):
-            yield self._requests_since(parts), unsent + sum(self.sent[:parts])
+        unsent = max(0, self.reserved - sum(self.sent[:ADVERTISED_PARTS]))
+        for parts in range(ADVERTISED_PARTS + 1):
+            yield (
+                self._min_requests_since(parts),
+                unsent + sum(self.sent[:parts]),
+            )
 
-    def is_any(self) -> bool:
-        """Whether there is anything to be told."""
-        return bool(self.came or self.reserved)
+    def has_usage(self) -> bool:
+        """Whether there is anything to advertise."""
+        return bool(self.arrived or self.reserved)
 
     def plus(self, other: 'BudgetUse') -> 'BudgetUse':
-        """Both together."""
-        return total((self, other))
+        """Return the sum of both."""
+        return total_use((self, other))
 
-    def _requests_since(self, parts: int) -> int:
-        """Least requests of a window that began within a part, by its number.
+    def _min_requests_since(self, parts: int) -> int:
+        """Return the minimum requests of a window that began in a given part.
 
-        Of that part it may have nothing, nor of the one in which it ends.
+        The window may contain no request of that part, nor of the part in
+        which it ends.
         """
-        half = TOLD_PARTS // 2
+        half = ADVERTISED_PARTS // 2
         whole = max(0, parts - 1)
         return max(
-            sum(self.came[:whole]),
-            sum(self.came[max(0, parts - half) : whole + half]),
-            sum(self.came[parts : whole + TOLD_PARTS]),
+            sum(self.arrived[:whole]),
+            sum(self.arrived[max(0, parts - half) : whole + half]),
+            sum(self.arrived[parts : whole + ADVERTISED_PARTS]),
         )
 
 
 class AdvertisedBudgets(msgspec.Struct, frozen=True, array_like=True):
-    """The use of all budgets, as an instance or the speaker of a zone tells.
+    """Use of all budgets, as advertised by an instance or for a zone.
 
     >>> one = AdvertisedBudgets(10, {'orders': BudgetUse(reserved=3)})
     >>> one.used['orders'].plus(BudgetUse(reserved=1)).reserved
     4
     """
 
-    covered: float = 0
-    """Seconds for which the teller has known who else uses the budgets."""
+    coverage: float = 0
+    """Seconds for which the sender has known all users of the budgets."""
 
     used: dict[ServiceName, BudgetUse] = {}
-    """What the teller uses, or its whole zone."""
+    """Use by the sender, or by its whole zone."""
 
-    gone: dict[ServiceName, BudgetUse] = {}
-    """What others that are silent by now may still use."""
+    departed: dict[ServiceName, BudgetUse] = {}
+    """Use that instances which are silent by now may still have."""
 
 
 @dataclass(slots=True)
-class Sum:
-    """Adds up what several use."""
+class UseSum:
+    """Accumulates the use of several instances."""
 
     reserved: float = 0
-    """Repeats that they have reserved."""
+    """Retries that they have reserved."""
 
     load: float = 0
-    """Requests a second."""
+    """Requests per second."""
 
-    wanting: float = 0
-    """Those of them that come to instances which want more."""
+    constrained_load: float = 0
+    """Share of ``load`` at instances that need more retries."""
 
     sent: list[int] = field(default_factory=list)
-    """Repeats by part of the window."""
+    """Retries by part of the window."""
 
-    came: list[int] = field(default_factory=list)
-    """Requests, the same."""
+    arrived: list[int] = field(default_factory=list)
+    """Requests by part of the window."""
 
     def add(self, use: BudgetUse) -> None:
-        """Add what one of them uses."""
+        """Add the use of one instance."""
         self.reserved += use.reserved
         self.load += use.load
-        self.wanting += use.wanting
+        self.constrained_load += use.constrained_load
         _add_parts(self.sent, use.sent)
-        _add_parts(self.came, use.came)
+        _add_parts(self.arrived, use.arrived)
 
     def use(self) -> BudgetUse:
-        """All of them together."""
+        """Return the sum."""
         return BudgetUse(
-            tuple(self.came),
+            tuple(self.arrived),
             self.reserved,
             self.load,
-            self.wanting,
+            self.constrained_load,
             tuple(self.sent),
         )
 
 
-def total(uses: Iterable[BudgetUse]) -> BudgetUse:
-    """What several use together."""
-    found = Sum()
+def total_use(uses: Iterable[BudgetUse]) -> BudgetUse:
+    """Return the sum of several uses."""
+    found = UseSum()
     for use in uses:
         found.add(use)
     return found.use()
--- a/worksrail/core/budgets/_budget.py
+++ b/worksrail/core/budgets/_budget.py
@@ -1,13 +1,14 @@
-"""One instance's side of a budget of repeats that all instances share.
-
-An instance sends repeats within what it has reserved, and tells the others
-what that is.  It reserves more out of what is left as far as it knows, and only
-so much at once that all others could do the same before they hear of it.  Its
-part by load it keeps reserved as long as it wants it or nobody else does.  So
-the sum of all reservations holds, whoever has the load: instances that keep a
-share of their own requests each would pass the bound when load moves, as those
-that lost it have sent for the requests of one window and those that got it send
-for the requests of the next.
+"""One instance's part of a retry budget that all instances share.
+
+An instance sends retries within what it has reserved, and advertises that
+number.  It reserves more out of what is left as far as it knows, and at a time
+only so much that all others could do the same before they learn of it.  Its
+fair share by load stays reserved as long as the instance needs it or no other
+instance does.  So the sum of all reservations holds, wherever the load is.  If
+each instance kept a share of its own requests instead, the bound would be
+exceeded when load moves: instances that lost it have sent retries for the
+requests of one window, and those that received it send retries for the requests
+of the next.
 """
 
 import random
@@ -18,335 +19,355 @@
 
 from worksrail.core._meters import RateMeter
 from worksrail.core.budgets._accounts import (
-    NEWS_TIME,
-    TRAVEL_TIME,
-    Room,
+    PROPAGATION_TIME,
+    TRANSIT_TIME,
+    ReservationBound,
 )
 from worksrail.core.budgets._advertised import REQUEST_PARTS, BudgetUse
-from worksrail.core.budgets._sliding_count import TOLD_PARTS, SlidingCount
-
-# Shares of the ratio and of the extra number that are used: requests are told
-# of a little late, and reservations rounded.
-_RATIO_KEPT: Final = 0.98
-_EXTRA_KEPT: Final = 0.9
-# Seconds in which all instances have heard of what any of them reserved, and
-# each has heard of what these then did.
-_ROUND: Final = NEWS_TIME + NEWS_TIME / 2
-FIRST_NEWS: Final = _ROUND
+from worksrail.core.budgets._sliding_count import ADVERTISED_PARTS, SlidingCount
+
+# Shares of the ratio and of the extra number that are used: request counts
+# arrive a little late, and reservations are rounded.
+_RATIO_MARGIN: Final = 0.98
+_EXTRA_MARGIN: Final = 0.9
+# Seconds in which all instances learn what any of them reserved, and each
+# learns what the others did in response.
+_ROUND: Final = PROPAGATION_TIME + PROPAGATION_TIME / 2
+STARTUP_DELAY: Final = _ROUND
 """Seconds after the start of an instance in which it may reserve nothing."""
-# Share of what is left that all instances together may reserve in a round,
-# and the part of it that goes to those that are known to want more.
-_AT_ONCE: Final = 0.9
-_FOR_WANTING: Final = 0.75
-# Requests a second that each instance is taken to get at the least.
-_LEAST_LOAD: Final = 0.1
+# Share of what is left that all instances together may reserve in a round, and
+# the part of it that goes to those known to need more.
+_ROUND_SHARE: Final = 0.9
+_CONSTRAINED_SHARE: Final = 0.75
+# Requests per second that each instance is assumed to receive at least.
+_MIN_LOAD: Final = 0.1
 # Seconds over which the load is averaged.
-_LOAD_TIME: Final = 1.0
-# Seconds after the last wish for more in which an instance wants more.
-_WANTS_FOR: Final = 2.0
-# Seconds after which what is reserved and not used goes back to all.
-_UNUSED_FOR: Final = 0.4
-# Seconds by which requests are told late, most of the time.
-_TOLD_LATE: Final = NEWS_TIME / 2
-# Parts of the window by whose requests an instance has its part.
-_PARTS_OF_LOAD: Final = TOLD_PARTS // 2
-# Times its part by load that an instance keeps at most: its load is counted
-# in few requests.
-_PART_KEPT: Final = 1.25
-# Seconds without a wish to repeat after which an instance lends its part.
-_IDLE_AFTER: Final = 1.0
-# Share of its reservation that an instance keeps for preferred repeats.
-_PREFERRED: Final = 0.05
+_LOAD_WINDOW: Final = 1.0
+# Seconds since the last shortage for which an instance counts as constrained.
+_CONSTRAINED_TTL: Final = 2.0
+# Seconds after which unused reservations are released.
+_RELEASE_INTERVAL: Final = 0.4
+# Typical age of the request counts of peers, seconds.
+_REPORT_AGE: Final = PROPAGATION_TIME / 2
+# Parts of the window whose requests determine an instance's fair share.
+_LOAD_PARTS: Final = ADVERTISED_PARTS // 2
+# An instance keeps at most this multiple of its fair share, as its load is
+# estimated from few requests.
+_MAX_FAIR_SHARES: Final = 1.25
+# Seconds without demand for retries after which an instance lends its share.
+_IDLE_TIMEOUT: Final = 1.0
+# Share of its reservation that an instance keeps for preferred retries.
+_PREFERRED_SHARE: Final = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetBounds:
-    """What all instances together may repeat."""
+    """Number of retries that all instances together may send."""
 
     ratio: float
-    """Repeats for each request."""
+    """Retries per request."""
 
     window: float
-    """Seconds in which both are counted, wherever that window begins."""
+    """Seconds in which both are counted, wherever the window begins."""
 
     extra: float
-    """Repeats besides, in each window."""
+    """Additional retries in each window."""
 
-    def allowed(self, requests: float, heard: float) -> float:
-        """Repeats that may be reserved for some requests in a window.
+    def allowed(self, requests: float, live_share: float) -> float:
+        """Return how many retries may be reserved for a number of requests.
 
-        Of the extra number, instances that cannot be heard have their part.
+        Instances that cannot be reached keep their part of the extra number.
         """
-        extra = self.extra * _EXTRA_KEPT * heard
-        return self.ratio * _RATIO_KEPT * requests + extra
+        extra = self.extra * _EXTRA_MARGIN * live_share
+        return self.ratio * _RATIO_MARGIN * requests + extra
 
 
 @dataclass(frozen=True, slots=True)
-class Others:
-    """What an instance knows of the others when it wants to repeat."""
+class PeerView:
+    """What an instance knows of its peers when it reserves retries."""
 
     use: BudgetUse
-    """What they use together."""
+    """Use by all peers together."""
 
     instances: int = 1
-    """How many live, this one included."""
+    """Number of live instances, this one included."""
 
-    heard: float = 1
-    """Share of all known instances that live."""
+    live_share: float = 1
+    """Share of all known instances that are live."""
 
-    covered: bool = True
-    """It is known who else used the budget within the window."""
+    complete: bool = True
+    """Whether all users of the budget within the window are known."""
 
 
 @dataclass(slots=True)
 class SharedBudget:
-    """What one instance has of the budget of one service.
+    """One instance's part of the budget of one service.
 
     >>> budget = SharedBudget.from_bounds(BudgetBounds(0.5, 10, 0), seed=1)
     >>> for number in range(100):
     ...     budget.record_request(number / 10)
-    >>> alone = Others(BudgetUse(), 1)
+    >>> alone = PeerView(BudgetUse(), 1)
     >>> sum(budget.spend(10.0, alone) for _ in range(100))
     37
     """
 
     bounds: BudgetBounds
-    """What all instances together may repeat."""
+    """Number of retries that all instances together may send."""
 
     requests: SlidingCount
-    """Requests that came here."""
+    """Requests that arrived at this instance."""
 
     retries: SlidingCount
-    """Repeats that were sent from here."""
+    """Retries that this instance sent."""
 
-    raised: SlidingCount
-    """Repeats that were reserved in this round."""
+    reserved_in_round: SlidingCount
+    """Retries that were reserved in the present round."""
 
     rng: random.Random
-    """Rounds shares of less than one repeat, up or down."""
+    """Rounds shares of less than one retry, up or down."""
 
     load: RateMeter = field(
-        default_factory=lambda: RateMeter(seconds=_LOAD_TIME)
+        default_factory=lambda: RateMeter(seconds=_LOAD_WINDOW)
     )
-    """How often requests come now."""
+    """Current rate of requests."""
 
-    loads: deque[tuple[float, float]] = field(
+    load_history: deque[tuple[float, float]] = field(
         default_factory=lambda: deque([(-inf, 0)])
     )
-    """The same in the last seconds, with their times."""
+    """The rate in the last seconds, each with its time."""
 
-    short: bool = False
-    """All instances have reserved more than is allowed by now."""
+    overcommitted: bool = False
+    """Whether all instances together have reserved more than is allowed."""
 
     reserved: int = 0
-    """Repeats that may be sent in each window."""
+    """Retries that may be sent in each window."""
 
     unused: int = 0
-    """Least that was reserved and not used since ``checked_at``."""
+    """Minimum of reserved but unsent retries since ``released_at``."""
 
-    checked_at: float = 0
-    """When unused reservations were given back last."""
+    released_at: float = 0
+    """When unused reservations were last released."""
 
-    wished_at: float = -_WANTS_FOR
-    """When more was wished for last."""
+    constrained_at: float = -_CONSTRAINED_TTL
+    """When more retries were last needed than were reserved."""
 
-    asked_at: float = -inf
-    """When a repeat was asked for last."""
+    requested_at: float = -inf
+    """When a retry was last requested."""
 
-    wanting_since: float = 0
-    """Since when more is wished for."""
+    constrained_since: float = 0
+    """Since when more retries are needed."""
 
-    chance: float = 0
-    """Part of a repeat by which the present round's share is rounded up."""
+    rounding: float = 0
+    """Fraction of a retry that is added before a share is rounded down, drawn
+    anew for each round."""
 
     round_at: float = -_ROUND
-    """When ``chance`` was drawn."""
+    """When ``rounding`` was drawn."""
 
     @classmethod
     def from_bounds(cls, bounds: BudgetBounds, seed: int) -> 'SharedBudget':
-        """Begin with nothing reserved."""
+        """Create a budget without reservations."""
         return cls(
             bounds,
-            SlidingCount.beyond(bounds.window, REQUEST_PARTS),
-            SlidingCount(max(bounds.window, NEWS_TIME) + TRAVEL_TIME),
+            SlidingCount.spanning(bounds.window, REQUEST_PARTS),
+            SlidingCount(max(bounds.window, PROPAGATION_TIME) + TRANSIT_TIME),
             SlidingCount(_ROUND),
             random.Random(seed),
         )
 
     def record_request(self, now: float) -> None:
         """Count a request for the service."""
-        self.requests.note(now)
+        self.requests.record(now)
         self.load.note(now)
 
     def spend(
-        self, now: float, others: Others, *, preferred: bool = True
+        self, now: float, peers: PeerView, *, preferred: bool = True
     ) -> bool:
-        """Take one repeat; false when there is none.
+        """Take one retry; return false if there is none.
 
-        Those that are not preferred leave a part of what is reserved.
+        Retries that are not preferred leave a part of the reservation.
         """
-        self.asked_at = now
-        kept = 0 if preferred else int(self.reserved * _PREFERRED)
-        if self.short:
+        self.requested_at = now
+        kept = 0 if preferred else int(self.reserved * _PREFERRED_SHARE)
+        if self.overcommitted:
             return False
-        if self.free(now) <= kept:
-            self._raise(now, others)
-        if self.free(now) <= kept:
+        if self.available(now) <= kept:
+            self._reserve_one(now, peers)
+        if self.available(now) <= kept:
             return False
-        self.retries.note(now)
-        self.unused = min(self.unused, self.free(now))
+        self.retries.record(now)
+        self.unused = min(self.unused, self.available(now))
         return True
 
     def give_back(self, now: float) -> None:
-        """The repeat that was taken last was not sent."""
-        self.retries.take_back(now)
+        """Return the retry that was taken last, as it was not sent."""
+        self.retries.undo_last(now)
 
-    def free(self, now: float) -> int:
-        """Repeats that are reserved and were not sent in the window."""
+    def available(self, now: float) -> int:
+        """Return the retries that are reserved and unsent in the window."""
         return self.reserved - self.retries.total(now)
 
     def is_idle(self, now: float) -> bool:
-        """Whether there is nothing to be told."""
+        """Whether there is nothing to advertise."""
         return not (self.requests.total(now) or self.reserved)
 
-    def left(self, now: float, others: Others) -> float:
-        """Repeats that nobody has reserved, as far as is known here."""
-        every = self.use(now).plus(others.use)
-        twice = self._counted_twice(others)
-        allowed = self.bounds.allowed(every.requests - twice, others.heard)
-        # While requests become more, the windows that go on tell more.
+    def unreserved(self, now: float, peers: PeerView) -> float:
+        """Return the retries that no instance is known to have reserved."""
+        every = self.use(now).plus(peers.use)
+        surplus = self._double_counted(peers)
+        allowed = self.bounds.allowed(
+            every.requests - surplus, peers.live_share
+        )
+        # While the number of requests grows, open windows allow more.
         by_window = min(
-            self.bounds.allowed(requests - twice, others.heard) - repeats
-            for requests, repeats in every.spans()
+            self.bounds.allowed(requests - surplus, peers.live_share) - retries
+            for requests, retries in every.open_windows()
         )
         return max(by_window, allowed - every.reserved)
 
-    def room(self, now: float, others: Others) -> Room:
-        """What each other instance may reserve before it is heard of."""
-        left = _AT_ONCE * max(0, self.left(now, others))
+    def reservation_bound(
+        self, now: float, peers: PeerView
+    ) -> ReservationBound:
+        """Return what each peer may reserve before its next report."""
+        left = _ROUND_SHARE * max(0, self.unreserved(now, peers))
         own = self.use(now)
-        load = own.load + others.use.load
-        wanting = own.wanting + others.use.wanting
-        return Room(left / max(1, load), left * _FOR_WANTING / max(1, wanting))
+        load = own.load + peers.use.load
+        constrained_load = own.constrained_load + peers.use.constrained_load
+        return ReservationBound(
+            left / max(1, load),
+            left * _CONSTRAINED_SHARE / max(1, constrained_load),
+        )
 
     def use(self, now: float) -> BudgetUse:
-        """What this instance uses, to be told."""
+        """Return this instance's use, to be advertised."""
         load = round(self.load.rate(now), 1)
         return BudgetUse(
             self.requests.by_part(now),
             self.reserved,
             load,
-            load if self._is_wanting(now) else 0,
+            load if self._is_constrained(now) else 0,
             self.retries.by_part(now),
         )
 
-    def maintain(self, now: float, others: Others) -> None:
-        """Keep the own part reserved; give back what else is not used.
+    def maintain(self, now: float, peers: PeerView) -> None:
+        """Keep the fair share reserved and release unused reservations.
 
-        And what is not allowed any more.
+        Reservations beyond what is allowed are released as well.
         """
-        left = self.left(now, others)
-        self.short = left < 0
-        self._note_load(now)
-        part = self._part(now, others, left)
-        self._reserve(now, others, left, floor(part) - self.reserved)
-        self.unused = min(self.unused, self.free(now))
-        if now - self.checked_at >= _UNUSED_FOR:
-            beyond = self.reserved - floor(_PART_KEPT * part)
+        left = self.unreserved(now, peers)
+        self.overcommitted = left < 0
+        self._record_load(now)
+        share = self._fair_share(now, peers, left)
+        self._reserve(now, peers, left, floor(share) - self.reserved)
+        self.unused = min(self.unused, self.available(now))
+        if now - self.released_at >= _RELEASE_INTERVAL:
+            beyond = self.reserved - floor(_MAX_FAIR_SHARES * share)
             self.reserved -= max(0, min(self.unused, beyond))
-            self.unused = self.free(now)
-            self.checked_at = now
-            self._give_way(now, others)
+            self.unused = self.available(now)
+            self.released_at = now
+            self._release_excess(now, peers)
 
     def handle_pause(self, now: float) -> None:
-        """The process stood still: the others have given up on it."""
+        """Handle a suspension of the process: peers consider it gone."""
         self.reserved = min(self.reserved, self.retries.total(now))
 
-    def _counted_twice(self, others: Others) -> float:
-        """Requests that left the window where load moved here from others.
+    def _double_counted(self, peers: PeerView) -> float:
+        """Estimate the requests that are counted twice where load moves here.
 
-        What these tell is a little old, so their windows end earlier.
+        The reports of peers are a little old, so their windows end earlier and
+        still hold requests that have left the present window.
         """
-        oldest = max((0, *others.use.came[TOLD_PARTS - 1 : REQUEST_PARTS]))
-        rate = oldest * TOLD_PARTS / self.bounds.window
-        return max(0, rate - others.use.load) * _TOLD_LATE
+        oldest = max(
+            (0, *peers.use.arrived[ADVERTISED_PARTS - 1 : REQUEST_PARTS])
+        )
+        rate = oldest * ADVERTISED_PARTS / self.bounds.window
+        return max(0, rate - peers.use.load) * _REPORT_AGE
 
-    def _give_way(self, now: float, others: Others) -> None:
-        # Requests have become fewer: everybody gives up the same share.
-        left = self.left(now, others)
+    def _release_excess(self, now: float, peers: PeerView) -> None:
+        # When the number of requests falls, all instances release the same
+        # share of their reservations.
+        left = self.unreserved(now, peers)
         if left < 0:
-            reserved = self.reserved + others.use.reserved
+            reserved = self.reserved + peers.use.reserved
             kept = self.reserved * (1 + left / reserved) if reserved else 0
-            # What was sent stays in the sum until it has left the window.
+            # Retries that were sent stay reserved until they leave the window.
             sent = self.retries.total(now)
             self.reserved = max(min(sent, self.reserved), floor(kept))
 
-    def _raise(self, now: float, others: Others) -> None:
-        if not self._is_wanting(now):
-            self.wanting_since = now
-        self.wished_at = now
-        self._reserve(now, others, self.left(now, others), 1)
+    def _reserve_one(self, now: float, peers: PeerView) -> None:
+        if not self._is_constrained(now):
+            self.constrained_since = now
+        self.constrained_at = now
+        self._reserve(now, peers, self.unreserved(now, peers), 1)
 
     def _reserve(
-        self, now: float, others: Others, left: float, most: int
+        self, now: float, peers: PeerView, left: float, max_count: int
     ) -> None:
-        """Reserve so many more, as far as this round allows it."""
-        if most < 1 or left < 1 or not others.covered:
+        """Reserve more retries, as far as the present round allows."""
+        if max_count < 1 or left < 1 or not peers.complete:
             return
-        share = self._share(now, left, others) - self.raised.total(now)
-        for _ in range(min(most, floor(left), share)):
+        share = self._round_limit(
+            now, left, peers
+        ) - self.reserved_in_round.total(now)
+        for _ in range(min(max_count, floor(left), share)):
             self.reserved += 1
-            self.raised.note(now)
+            self.reserved_in_round.record(now)
 
-    def _part(self, now: float, others: Others, left: float) -> float:
-        """Repeats that are kept reserved for repeats that may be wanted.
+    def _fair_share(self, now: float, peers: PeerView, left: float) -> float:
+        """Return how many retries to keep reserved in advance.
 
-        They are lent to others that want more while none is wanted here.
+        The share is lent to peers that need more while none is needed here.
         """
-        idle = now - self.asked_at >= _IDLE_AFTER
-        if others.instances == 1 or (idle and others.use.wanting):
+        idle = now - self.requested_at >= _IDLE_TIMEOUT
+        if peers.instances == 1 or (idle and peers.use.constrained_load):
             return 0
-        own = sum(self.requests.by_part(now)[:_PARTS_OF_LOAD])
-        every = own + sum(others.use.came[:_PARTS_OF_LOAD])
-        allowed = max(0, left) + self.reserved + others.use.reserved
+        own = sum(self.requests.by_part(now)[:_LOAD_PARTS])
+        every = own + sum(peers.use.arrived[:_LOAD_PARTS])
+        allowed = max(0, left) + self.reserved + peers.use.reserved
         return allowed * own / max(1, every) + 1 / 2
 
-    def _share(self, now: float, left: float, others: Others) -> int:
-        """Most repeats that may be reserved here within a round."""
-        raised = self.raised.total(now)
-        if others.instances == 1:
-            return floor(left) + raised
+    def _round_limit(self, now: float, left: float, peers: PeerView) -> int:
+        """Return how many retries may be reserved here within a round."""
+        recent = self.reserved_in_round.total(now)
+        if peers.instances == 1:
+            return floor(left) + recent
         if now - self.round_at >= _ROUND:
             self.round_at = now
-            self.chance = self.rng.random()
-        # What was taken here in this round was free when it began.
-        free = left + raised
-        many = others.instances
-        rounding = min(2 * sqrt(free), sqrt(many), many / 4)
-        safe = max(0, free - rounding)
-        share = _AT_ONCE * self._weight(now, others) * safe
-        return floor(share + self.chance)
-
-    def _weight(self, now: float, others: Others) -> float:
-        # As old as what others tell: where all load comes at once, each would
-        # take itself for the busiest.
-        own = min(self.loads[0][1], self.load.rate(now)) + _LEAST_LOAD
-        every = own + others.use.load + _LEAST_LOAD * (others.instances - 1)
+            self.rounding = self.rng.random()
+        # What was reserved here in this round was unreserved when it began.
+        unreserved = left + recent
+        instances = peers.instances
+        margin = min(2 * sqrt(unreserved), sqrt(instances), instances / 4)
+        safe = max(0, unreserved - margin)
+        share = _ROUND_SHARE * self._weight(now, peers) * safe
+        return floor(share + self.rounding)
+
+    def _weight(self, now: float, peers: PeerView) -> float:
+        # The own load is taken as old as the reports of peers.  Otherwise each
+        # instance would consider itself the busiest when load rises everywhere
+        # at the same time.
+        own = min(self.load_history[0][1], self.load.rate(now)) + _MIN_LOAD
+        every = own + peers.use.load + _MIN_LOAD * (peers.instances - 1)
         weight = own / every
-        # The others keep to the lesser part only when they know of the wish.
-        wanted = now - self.wanting_since
-        is_known = self._is_wanting(now) and wanted > _ROUND
-        if not is_known and not others.use.wanting:
+        # Peers keep to the smaller share only once they know of the shortage.
+        elapsed = now - self.constrained_since
+        is_known = self._is_constrained(now) and elapsed > _ROUND
+        if not is_known and not peers.use.constrained_load:
             return weight
-        weight *= 1 - _FOR_WANTING
+        weight *= 1 - _CONSTRAINED_SHARE
         if is_known:
-            weight += _FOR_WANTING * own / (own + others.use.wanting)
+            weight += (
+                _CONSTRAINED_SHARE * own / (own + peers.use.constrained_load)
+            )
         return weight
 
-    def _note_load(self, now: float) -> None:
-        self.loads.append((now, self.load.rate(now)))
-        while len(self.loads) > 1 and self.loads[1][0] <= now - NEWS_TIME:
-            self.loads.popleft()
+    def _record_load(self, now: float) -> None:
+        self.load_history.append((now, self.load.rate(now)))
+        while (
+            len(self.load_history) > 1
+            and self.load_history[1][0] <= now - PROPAGATION_TIME
+        ):
+            self.load_history.popleft()
 
-    def _is_wanting(self, now: float) -> bool:
-        return now - self.wished_at < _WANTS_FOR
+    def _is_constrained(self, now: float) -> bool:
+        return now - self.constrained_at < _CONSTRAINED_TTL
--- a/worksrail/core/budgets/_shared.py
+++ b/worksrail/core/budgets/_shared.py
@@ -2,12 +2,16 @@
 
 from dataclasses import dataclass, field
 
-from worksrail.core.budgets._accounts import Account, Accounts, Rooms
+from worksrail.core.budgets._accounts import (
+    PeerReport,
+    PeerReports,
+    ReservationBounds,
+)
 from worksrail.core.budgets._advertised import AdvertisedBudgets, BudgetUse
 from worksrail.core.budgets._budget import (
-    FIRST_NEWS,
+    STARTUP_DELAY,
     BudgetBounds,
-    Others,
+    PeerView,
     SharedBudget,
 )
 from worksrail.core.identity import Incarnation, ServiceName, ZoneName
@@ -15,21 +19,22 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetUse:
-    """How much of one budget is in use, as one instance knows."""
+    """Use of one budget over the whole fleet, as known to one instance."""
 
     total: BudgetUse
-    """What all instances use together."""
+    """Use by all instances together."""
 
     own: int
-    """Repeats that this one has reserved."""
+    """Retries that this instance has reserved."""
 
     left: float
-    """Repeats that nobody has reserved; below zero if requests became fewer."""
+    """Retries that no instance has reserved; negative if the number of requests
+    fell."""
 
 
 @dataclass(slots=True)
 class SharedBudgets:
-    """Budgets of repeats, by service, that all instances share.
+    """Retry budgets by service, each shared by all instances.
 
     >>> budgets = SharedBudgets.begin(BudgetBounds(0.2, 10, 0), 0)
     >>> for _ in range(100):
@@ -39,35 +44,35 @@
     """
 
     bounds: BudgetBounds
-    """What all instances together may repeat for a service."""
+    """Retries that all instances together may send to a service."""
 
-    covered_from: float
-    """Since when this instance has known who uses the budgets."""
+    known_since: float
+    """Since when this instance has known all users of the budgets."""
 
-    accounts: Accounts
-    """What the others use."""
+    reports: PeerReports
+    """Use by the other instances."""
 
     seed: int = 0
-    """Seed of the rounding of small shares."""
+    """Seed for rounding fractional shares at random."""
 
     instances: int = 1
-    """How many instances live, this one included."""
+    """Number of live instances, this one included."""
 
-    heard: float = 1
-    """Share of all known instances that live."""
+    live_share: float = 1
+    """Share of all known instances that are live."""
 
     budgets: dict[ServiceName, SharedBudget] = field(default_factory=dict)
-    """This instance's side, by service."""
+    """This instance's part of each budget, by service."""
 
-    rooms: Rooms = field(default_factory=dict)
-    """What the others may reserve unheard, by service."""
+    reservation_bounds: ReservationBounds = field(default_factory=dict)
+    """What peers may reserve before they report it, by service."""
 
     @classmethod
     def begin(
-        cls, bounds: BudgetBounds, covered_from: float, seed: int = 0
+        cls, bounds: BudgetBounds, known_since: float, seed: int = 0
     ) -> 'SharedBudgets':
-        """Begin an incarnation that knows what others used since a time."""
-        return cls(bounds, covered_from, Accounts(bounds.window), seed)
+        """Create the budgets of a new incarnation."""
+        return cls(bounds, known_since, PeerReports(bounds.window), seed)
 
     # -- requests
 
@@ -78,111 +83,114 @@
     def spend(
         self, service: ServiceName, now: float, *, preferred: bool = True
     ) -> bool:
-        """Take one repeat to a service; false when there is none."""
-        others = self.others(service, now)
-        return self._budget(service).spend(now, others, preferred=preferred)
+        """Take one retry for a service; return false if there is none."""
+        peers = self.peer_view(service, now)
+        return self._budget(service).spend(now, peers, preferred=preferred)
 
     def give_back(self, service: ServiceName, now: float) -> None:
-        """The repeat that was taken last was not sent."""
+        """Return the retry that was taken last, as it was not sent."""
         self._budget(service).give_back(now)
 
     # -- the other instances
 
     def set_fleet_size(self, instances: int, known: int) -> None:
-        """Take in how many instances live, of how many that are known."""
+        """Set the number of live instances, and of all known ones."""
         self.instances = max(1, instances)
-        self.heard = self.instances / max(self.instances, known)
+        self.live_share = self.instances / max(self.instances, known)
 
     def receive(
         self,
         who: Incarnation,
-        told: AdvertisedBudgets,
+        advertised: AdvertisedBudgets,
         now: float,
         *,
         zone: ZoneName = '',
     ) -> None:
-        """Take in what an instance of the own zone tells.
+        """Store what a peer of the own zone advertises.
 
-        Or what the speaker of another zone tells of that zone.
+        With a zone: what the relay of that zone advertises for all of it.
         """
-        teller = f'zone {zone}' if zone else who.name
-        account = Account(told, now, who, not zone, self.rooms)
-        self.accounts.take(teller, account)
+        sender = f'zone {zone}' if zone else who.name
+        report = PeerReport(
+            advertised, now, who, not zone, self.reservation_bounds
+        )
+        self.reports.store(sender, report)
 
     def advertise(self, now: float) -> AdvertisedBudgets:
-        """What this instance uses, and what the silent ones may use."""
+        """Return this instance's use, and what silent ones may still use."""
         return AdvertisedBudgets(
-            self._covered(now, near=True),
+            self._coverage(now, same_zone=True),
             {name: one.use(now) for name, one in self.budgets.items()},
-            self.accounts.gone(self.accounts.services(), now),
+            self.reports.departed(self.reports.services(), now),
         )
 
     def advertise_zone(self, now: float) -> AdvertisedBudgets:
-        """What all instances of the zone use together."""
-        services = self.accounts.services()
+        """Return the use of all instances of the zone together."""
+        services = self.reports.services()
         used = {
-            name: self.accounts.use(name, now, near=True) for name in services
+            name: self.reports.use(name, now, same_zone=True)
+            for name in services
         }
         for name, budget in self.budgets.items():
             used[name] = budget.use(now).plus(used.get(name, BudgetUse()))
         return AdvertisedBudgets(
-            self._covered(now, near=True),
-            {name: use for name, use in used.items() if use.is_any()},
-            self.accounts.gone(services, now, far_only=True),
+            self._coverage(now, same_zone=True),
+            {name: use for name, use in used.items() if use.has_usage()},
+            self.reports.departed(services, now, far_only=True),
         )
 
-    def others(self, service: ServiceName, now: float) -> Others:
-        """What is known of the others at one service."""
-        return Others(
-            self.accounts.use(service, now),
+    def peer_view(self, service: ServiceName, now: float) -> PeerView:
+        """Return what is known of the peers' use of one budget."""
+        return PeerView(
+            self.reports.use(service, now),
             self.instances,
-            self.heard,
-            self._is_covered(now),
+            self.live_share,
+            self._is_complete(now),
         )
 
     def fleet_use(self, service: ServiceName, now: float) -> FleetUse:
-        """How much of a budget is in use, to be shown."""
+        """Return the use of a budget over the fleet, for metrics and logs."""
         budget = self._budget(service)
-        others = self.others(service, now)
+        peers = self.peer_view(service, now)
         return FleetUse(
-            others.use.plus(budget.use(now)),
+            peers.use.plus(budget.use(now)),
             budget.reserved,
-            budget.left(now, others),
+            budget.unreserved(now, peers),
         )
 
     # -- time
 
     def maintain(self, now: float) -> None:
-        """Give back what is not used; forget what can't matter any more."""
-        self.accounts.forget(now)
-        rooms = {}
+        """Release unused reservations and drop outdated reports."""
+        self.reports.prune(now)
+        bounds = {}
         for service, budget in tuple(self.budgets.items()):
             if budget.is_idle(now):
                 self.budgets.pop(service)
                 continue
-            others = self.others(service, now)
-            budget.maintain(now, others)
-            rooms[service] = budget.room(now, others)
-        self.rooms = rooms
+            peers = self.peer_view(service, now)
+            budget.maintain(now, peers)
+            bounds[service] = budget.reservation_bound(now, peers)
+        self.reservation_bounds = bounds
 
     def handle_pause(self, now: float) -> None:
-        """The process stood still: what others did meanwhile is unknown."""
-        self.covered_from = now
+        """Handle a suspension of the process, in which it missed reports."""
+        self.known_since = now
         for budget in self.budgets.values():
             budget.handle_pause(now)
 
     def follow(self, bounds: BudgetBounds, now: float) -> None:
-        """Go on with other bounds."""
+        """Apply other bounds."""
         if bounds.window != self.bounds.window:
-            # What was counted so far was counted in another window.
+            # The counts so far are those of another window.
             self.budgets.clear()
-            self.accounts.window = bounds.window
-            self.covered_from = now
+            self.reports.window = bounds.window
+            self.known_since = now
         self.bounds = bounds
         for budget in self.budgets.values():
             budget.bounds = bounds
 
-    # -- parts of these
+    # -- helpers
 
     def _budget(self, service: ServiceName) -> SharedBudget:
         budget = self.budgets.get(service)
@@ -191,14 +199,14 @@
             self.budgets[service] = budget
         return budget
 
-    def _is_covered(self, now: float) -> bool:
-        # What an earlier life of this instance used comes from others, after
-        # they have heard of this one.
-        if now - self.covered_from < FIRST_NEWS:
+    def _is_complete(self, now: float) -> bool:
+        # Peers advertise the use of this instance's earlier incarnation only
+        # after they have received the first digest of the present one.
+        if now - self.known_since < STARTUP_DELAY:
             return False
-        return self._covered(now, near=False) >= self.bounds.window
+        return self._coverage(now, same_zone=False) >= self.bounds.window
 
-    def _covered(self, now: float, *, near: bool) -> float:
-        own = now - self.covered_from
-        covered = max(own, self.accounts.covered(now, near=near))
-        return round(min(self.bounds.window, covered), 1)
+    def _coverage(self, now: float, *, same_zone: bool) -> float:
+        own = now - self.known_since
+        coverage = max(own, self.reports.coverage(now, same_zone=same_zone))
+        return round(min(self.bounds.window, coverage), 1)
--- a/worksrail/core/limits/__init__.py
+++ b/worksrail/core/limits/__init__.py
@@ -1,8 +1,8 @@
-"""Limits that all entries share, as a customer's quota.
+"""Limits that all entries share, such as a customer's quota.
 
-Each limit has one owner among the entries that live, drawn by rendezvous
-hashing, which keeps its token bucket.  While much is left, entries admit at
-once and report afterwards; once it runs short they ask the owner first.
+Each limit has one owner among the live entries, chosen by rendezvous hashing,
+which keeps its token bucket.  While plenty is left, entries admit at once and
+report afterwards; once little is left they ask the owner first.
 """
 
 from worksrail.core.limits._bucket import SharedLimit, TokenBucket
--- a/worksrail/core/limits/_accounts.py
+++ b/worksrail/core/limits/_accounts.py
@@ -1,4 +1,4 @@
-"""An entry's side of one shared limit."""
+"""An entry's account of one shared limit that another entry may own."""
 
 from dataclasses import dataclass, field
 from typing import Final
@@ -7,114 +7,118 @@
 from worksrail.core.limits._bucket import SharedLimit, TokenBucket
 from worksrail.core.limits._messages import LimitStatus
 
-# Seconds over which an entry averages how much of a limit it uses.
-_USUAL_TIME: Final = 10.0
-# Share of a limit that entries without word from its owner may use together,
-# and that owners leave to entries which they cannot hear.  Customers ask for
-# this share of their quota on the mean, as operators set it.
-SILENT_SHARE: Final = 0.6
-# Share of a bucket that an entry may admit before the owner hears of it: a
-# burst in one instant would pass the quota otherwise.
-_UNHEARD_SHARE: Final = 0.5
-# How much more than its usual use an entry admits without the owner's word,
-# and how many at once: each of a large fleet may be without it.
-_LEEWAY: Final = 1.25
-_AT_ONCE: Final = 1.0
+# Seconds over which an entry averages its use of a limit.
+_USE_WINDOW: Final = 10.0
+# Share of a limit that entries which cannot reach its owner may use together,
+# and that owners reserve for entries which they cannot reach.  Operators set
+# quotas so that customers request this share of them on average.
+UNREACHABLE_SHARE: Final = 0.6
+# Share of a bucket that an entry may admit before the owner learns of it:
+# otherwise an instantaneous burst would exceed the quota.
+_UNCONFIRMED_SHARE: Final = 0.5
+# Allowance without contact to the owner, as a multiple of the entry's recent
+# use, and its initial burst.  Both are small, as each entry of a large fleet
+# may be cut off from the owner.
+_ALLOWANCE_FACTOR: Final = 1.25
+_ALLOWANCE_BURST: Final = 1.0
 
 
 @dataclass(slots=True)
 class Account:
-    """What one entry knows of one limit, and has used of it."""
+    """An entry's view of one limit, and its use of the limit."""
 
     ample: bool = True
-    """It may admit before it reports."""
+    """Whether it may admit before it reports."""
 
     used: int = 0
-    """Admissions that were not reported yet."""
+    """Admissions that are not reported yet."""
 
-    unheard: int = 0
-    """Admissions since the owner's last word, reported or not."""
+    unconfirmed: int = 0
+    """Admissions since the owner's last reply, reported or not."""
 
     denied_until: float = 0
-    """Until when the owner need not be asked again."""
+    """Until when to deny without asking the owner again."""
 
     retry_at: float = 0
     """When the owner expects to have a token for a denied caller."""
 
     probing: bool = False
-    """The owner is silent and shall be tried again."""
+    """Whether to try a silent owner again with the next report."""
 
-    usual: RateMeter = field(
-        default_factory=lambda: RateMeter(seconds=_USUAL_TIME)
+    use_meter: RateMeter = field(
+        default_factory=lambda: RateMeter(seconds=_USE_WINDOW)
     )
-    """How much of the limit is used here."""
+    """Rate of use of the limit at this entry."""
 
     allowance: TokenBucket | None = None
-    """What may be admitted without the owner's word; None while it answers."""
+    """What may be admitted without the owner; None while it replies."""
 
-    def note_used(self, now: float) -> None:
-        """Something was admitted before its report."""
+    def record_admission(self, now: float) -> None:
+        """Count an admission that is not reported yet."""
         self.used += 1
-        self.unheard += 1
-        self.usual.note(now)
+        self.unconfirmed += 1
+        self.use_meter.note(now)
 
     def may_admit(self, limit: SharedLimit) -> bool:
         """Whether one more may be admitted before it is reported."""
-        return self.ample and self.unheard < limit.capacity * _UNHEARD_SHARE
+        return (
+            self.ample
+            and self.unconfirmed < limit.capacity * _UNCONFIRMED_SHARE
+        )
 
     def take_used(self) -> int:
-        """Admissions that were not reported yet; they are reported now."""
+        """Return and reset the admissions to be reported."""
         used = self.used
         self.used = 0
         self.probing = False
         return used
 
     def wait(self, now: float) -> float:
-        """Seconds after which a denied caller shall come back."""
+        """Return the seconds after which a denied caller should retry."""
         return max(self.denied_until, self.retry_at) - now
 
-    def take_standing(
+    def apply_status(
         self,
-        standing: LimitStatus,
+        status: LimitStatus,
         granted: int,
-        pause: float,
+        backoff: float,
         now: float,
     ) -> None:
-        """Take in the owner's word, with what it granted here.
+        """Apply the owner's reply, with the admissions that it granted here.
 
-        If it denied something, it is not asked again before the pause is over.
+        If it denied any, the owner is not asked again during the backoff.
         """
-        self.end_silence()
-        self.ample = standing.ample
-        self.unheard = self.used
+        self.drop_allowance()
+        self.ample = status.ample
+        self.unconfirmed = self.used
         for _ in range(granted):
-            self.usual.note(now)
-        if standing.wait:
-            self.retry_at = now + standing.wait
-            self.denied_until = now + min(pause, standing.wait)
+            self.use_meter.note(now)
+        if status.wait:
+            self.retry_at = now + status.wait
+            self.denied_until = now + min(backoff, status.wait)
 
-    def begin_silence(
+    def ensure_allowance(
         self,
         limit: SharedLimit,
         entries: int,
         now: float,
     ) -> TokenBucket:
-        """The owner does not answer: go on with a small allowance.
+        """Return the allowance for the time in which the owner is silent.
 
-        It is what this entry used lately or an equal part of what all that
-        are cut off may use together, whichever is more.
+        Its rate is the recent use of this entry or an equal part of what all
+        entries that are cut off may use together, whichever is more.
         """
-        # The owner is tried again with the next reports: what is admitted
-        # meanwhile is counted nowhere.
+        # The next report probes the owner: admissions from the allowance are
+        # not counted anywhere.
         self.probing = True
         if self.allowance is None:
-            equal = limit.rate * SILENT_SHARE / max(1, entries)
-            rate = max(equal, self.usual.rate(now) * _LEEWAY)
-            capacity = _AT_ONCE + rate
-            self.allowance = TokenBucket(rate, capacity, _AT_ONCE, now)
+            equal = limit.rate * UNREACHABLE_SHARE / max(1, entries)
+            rate = max(equal, self.use_meter.rate(now) * _ALLOWANCE_FACTOR)
+            capacity = _ALLOWANCE_BURST + rate
+            self.allowance = TokenBucket(rate, capacity, _ALLOWANCE_BURST, now)
         return self.allowance
 
-    def end_silence(self) -> None:
-        """The owner answers, or is another one."""
+    def drop_allowance(self) -> None:
+        """Drop the allowance: the owner replies, or has changed."""
         self.allowance = None
         self.probing = False
--- a/worksrail/core/limits/_bucket.py
+++ b/worksrail/core/limits/_bucket.py
@@ -1,4 +1,4 @@
-"""A limit as a rate and a capacity, and the token bucket that keeps it."""
+"""A limit as a rate and a capacity, and the token bucket that enforces it."""
 
 from dataclasses import dataclass
 
@@ -8,18 +8,18 @@
     """What all entries together may admit."""
 
     rate: float
-    """Admissions a second that may go on for ever; above zero."""
+    """Sustained admissions per second; above zero."""
 
     capacity: float
-    """Admissions that may come at once after a rest; one at the least."""
+    """Maximum burst of admissions; at least one."""
 
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Tokens that come at a steady rate, up to a capacity.
+    """Token bucket that refills at a steady rate, up to a capacity.
 
-    In any span of time it gives out its rate times the span and its capacity
-    at the most.
+    In any interval it grants at most its rate times the length of the interval,
+    plus its capacity.
 
     >>> bucket = TokenBucket(rate=2, capacity=3, level=3, filled_at=0)
     >>> bucket.take(5, now=0), bucket.take(5, now=1)
@@ -27,44 +27,44 @@
     """
 
     rate: float
-    """Tokens that come in a second."""
+    """Tokens added per second."""
 
     capacity: float
-    """Most tokens that it holds."""
+    """Maximum number of tokens."""
 
     level: float
-    """Tokens in it, as of ``filled_at``; below zero when more was spent than
-    it held."""
+    """Tokens as of ``filled_at``; negative when more was spent than there
+    was."""
 
     filled_at: float
     """When ``level`` was computed."""
 
     def fill(self, now: float) -> None:
-        """Add the tokens that have come since."""
+        """Add the tokens of the time since the last call."""
         grown = (now - self.filled_at) * self.rate
         self.level = min(self.capacity, self.level + grown)
         self.filled_at = now
 
     def take(self, wanted: int, now: float) -> int:
-        """Take whole tokens, as many as there are."""
+        """Take at most the wanted number of whole tokens."""
         self.fill(now)
         taken = max(0, min(wanted, int(self.level)))
         self.level -= taken
         return taken
 
     def spend(self, count: int, now: float) -> None:
-        """Account for what was admitted already; below zero gives back."""
+        """Account for earlier admissions; a negative count returns tokens."""
         self.fill(now)
         self.level = min(self.capacity, self.level - count)
 
     def resize(self, rate: float, capacity: float, now: float) -> None:
-        """Go on with another rate and capacity."""
+        """Change the rate and the capacity."""
         self.fill(now)
         self.rate = rate
         self.capacity = capacity
         self.level = min(self.level, capacity)
 
     def next_token_in(self, now: float) -> float:
-        """Seconds until there is a token to take."""
+        """Return the seconds until a token is available."""
         self.fill(now)
         return max(0, 1 - self.level) / self.rate
--- a/worksrail/core/limits/_members.py
+++ b/worksrail/core/limits/_members.py
@@ -1,4 +1,4 @@
-"""Who may own shared limits, and who owns which."""
+"""The entries that may own shared limits, and the owner of each limit."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -8,64 +8,65 @@
 from worksrail.core.identity import InstanceName
 from worksrail.core.limits._messages import LimitName
 
-# Share of the entries that were heard of from which an entry trusts its view
-# of who lives: one that hears fewer is cut off itself, and must not take all
-# limits for its own.
-_TRUSTED_VIEW: Final = 0.25
+# An entry trusts its view of the live entries if this contains at least this
+# share of the known ones.  An entry that reaches fewer is cut off itself and
+# must not take ownership of all limits.
+_TRUSTED_SHARE: Final = 0.25
 
 
 @dataclass(frozen=True, slots=True)
 class Members:
-    """The entries among which limits have their owners."""
+    """The entries among which limits are distributed."""
 
     peers: Mapping[InstanceName, str]
-    """Addresses of the entries that live and take requests, by name; the own
-    one among them if it does."""
+    """Addresses of the live entries that accept requests, by name; includes
+    this entry if it is one of them."""
 
     known: int
-    """Entries that were heard of, the silent ones and the own one included."""
+    """Number of known entries, including silent ones and this entry."""
 
     @property
-    def silent_share(self) -> float:
-        """Share of all entries that cannot be heard."""
+    def unreachable_share(self) -> float:
+        """Share of the known entries that cannot be reached."""
         return max(0, 1 - len(self.peers) / max(1, self.known))
 
     @property
     def trusted(self) -> bool:
-        """Whether so many are heard that the own view can be right."""
-        return len(self.peers) >= self.known * _TRUSTED_VIEW
+        """Whether enough entries are reachable for the view to be right."""
+        return len(self.peers) >= self.known * _TRUSTED_SHARE
 
 
 @dataclass(slots=True)
 class Owners:
-    """Draws the owner of each limit among the members.
+    """Assigns an owner among the members to each limit.
 
     >>> Owners(0, Members({'a': 'a:1'}, 1)).owner_of('quota')
     'a'
     """
 
     since: float
-    """Since when the members are the same; first, when this entry began."""
+    """Since when the members are unchanged; initially the start of this
+    entry."""
 
     members: Members = field(default_factory=lambda: Members({}, 1))
-    """Who may own limits."""
+    """The entries that may own limits."""
 
-    drawn: dict[LimitName, InstanceName] = field(default_factory=dict)
-    """Owners that were drawn among them."""
+    assigned: dict[LimitName, InstanceName] = field(default_factory=dict)
+    """Cached owners by limit."""
 
     def owner_of(self, name: LimitName) -> InstanceName:
-        """Owner of a limit; empty while nobody is known."""
-        owner = self.drawn.get(name)
+        """Return the owner of a limit; empty while there are no members."""
+        owner = self.assigned.get(name)
         if owner is None:
             owner = rendezvous(f'limit|{name}', self.members.peers)
-            self.drawn[name] = owner
+            self.assigned[name] = owner
         return owner
 
     def replace(self, members: Members, now: float) -> bool:
-        """Take in who lives; true if other entries do than before."""
-        moved = members.peers.keys() != self.members.peers.keys()
+        """Replace the members; return whether their names changed."""
+        changed = members.peers.keys() != self.members.peers.keys()
         self.members = members
-        if moved:
+        if changed:
             self.since = now
-            self.drawn = {}
-        return moved
+            self.assigned = {}
+        return changed
--- a/worksrail/core/limits/_messages.py
+++ b/worksrail/core/limits/_messages.py
@@ -1,7 +1,7 @@
-"""What entries tell the owners of shared limits, and are told.
+"""Messages between entries and the owners of shared limits.
 
-Each message is one datagram and may be lost.  A lost report leaves the owner
-with too low a count until the tokens it stands for would have come anyway.
+Each message is one datagram and may be lost.  A lost report leaves the owner's
+count too low until the tokens it stands for would have been refilled anyway.
 """
 
 import msgspec
@@ -12,36 +12,36 @@
 
 
 class LimitReport(msgspec.Struct, frozen=True, array_like=True, tag='report'):
-    """An entry tells an owner what it admitted, and asks for more."""
+    """An entry reports its admissions to an owner and requests more."""
 
     sender: Incarnation
     """The entry."""
 
     peer: str
-    """Where it wants the reply."""
+    """Address for the reply."""
 
     number: int
     """Identifies the report at its sender."""
 
     used: dict[LimitName, int]
-    """Admissions since the last report; below zero if some were not used."""
+    """Admissions since the last report; negative if some were not used."""
 
     wanted: dict[LimitName, int]
-    """Admissions that wait for the owner's word."""
+    """Admissions that wait for the owner's decision."""
 
     forwarded: bool = False
-    """It came to another entry first, which takes the receiver for the
-    owner."""
+    """Whether another entry received the report first and forwarded it to the
+    entry that it considers the owner."""
 
 
 class LimitStatus(msgspec.Struct, frozen=True, array_like=True):
-    """How a limit stands, as its owner tells one entry."""
+    """State of a limit, as its owner replies to one entry."""
 
     granted: int
-    """How many of the wanted admissions may go on."""
+    """How many of the wanted admissions are granted."""
 
     ample: bool
-    """So much is left that entries may admit before they report."""
+    """Whether enough is left for entries to admit before they report."""
 
     wait: float
     """Seconds after which a denied caller will find a token; zero if none was
@@ -49,29 +49,29 @@
 
 
 class LimitReply(msgspec.Struct, frozen=True, array_like=True, tag='reply'):
-    """An owner answers a report."""
+    """An owner's reply to a report."""
 
     number: int
-    """The report."""
+    """Number of the report."""
 
-    standings: dict[LimitName, LimitStatus]
-    """How the limits that it named stand."""
+    statuses: dict[LimitName, LimitStatus]
+    """State of the limits that it named."""
 
 
 class LimitHandover(
     msgspec.Struct, frozen=True, array_like=True, tag='handover'
 ):
-    """An owner tells its successor what is left of limits."""
+    """An owner transfers limits to its successor."""
 
     levels: dict[LimitName, float]
-    """Tokens left."""
+    """Remaining tokens by limit."""
 
 
 LimitMessage = LimitReport | LimitReply | LimitHandover
 
 
-def part_of(report: LimitReport, names: set[LimitName]) -> LimitReport:
-    """What a report says of some limits, to be passed on to their owner."""
+def forward_part(report: LimitReport, names: set[LimitName]) -> LimitReport:
+    """Return the part of a report to be forwarded to the owner of limits."""
     return LimitReport(
         report.sender,
         report.peer,
--- a/worksrail/core/limits/_owner.py
+++ b/worksrail/core/limits/_owner.py
@@ -1,9 +1,9 @@
 """The owner's side of shared limits: one token bucket for each.
 
-This answers more demand than a limit allows, wherever it arrives.  A fixed
-share for each entry would refuse small customers, whose whole quota is less
-than one request a second and entry; without any word between entries the sum
-has no bound.
+A single owner serves demand up to the limit wherever it arrives.  A fixed share
+for each entry would refuse small customers, whose whole quota is less than one
+request per second and entry; without any messages between entries the total
+would be unbounded.
 """
 
 from collections.abc import Iterable, Mapping
@@ -13,17 +13,18 @@
 from worksrail.core.limits._bucket import SharedLimit, TokenBucket
 from worksrail.core.limits._messages import LimitName, LimitStatus
 
-# Share of a bucket from which entries may admit before they report.  What they
-# admit until the word of a shortage reaches them is taken from the rest: a
-# report waits 0.1 s and crosses regions in 0.035 s, and so does the reply.
-_AMPLE: Final = 0.5
-# Seconds of its rate that an owner begins with when it cannot know what its
-# predecessor gave out: nobody has granted anything since that one fell silent,
-# which takes longer than this to notice.
-_FIRST_LEVEL: Final = 0.5
-# Shortest and longest time, in seconds, that a denied caller is told to wait.
-_SHORTEST_WAIT: Final = 0.02
-_LONGEST_WAIT: Final = 2.0
+# Level of the bucket, as a share of its capacity, from which entries may admit
+# before they report.  The rest covers what they admit until they learn of a
+# shortage: a report waits 0.1 s and crosses regions in 0.035 s, and so does the
+# reply.
+_AMPLE_SHARE: Final = 0.5
+# Initial level of a new owner, in seconds of its rate, when it cannot know what
+# its predecessor granted: nothing has been granted since the predecessor became
+# silent, and noticing that takes longer than this.
+_INITIAL_SECONDS: Final = 0.5
+# Minimum and maximum delay, in seconds, for a denied caller.
+_MIN_WAIT: Final = 0.02
+_MAX_WAIT: Final = 2.0
 
 
 @dataclass(slots=True)
@@ -36,34 +37,34 @@
     bucket: TokenBucket
     """What is left of it."""
 
-    promised: float = 0
-    """Callers that were told to come back, less the tokens that have come
-    since, as of ``promised_at``."""
+    expected: float = 0
+    """Denied callers that are expected to retry, less the tokens refilled
+    since, as of ``expected_at``."""
 
-    promised_at: float = 0
-    """When ``promised`` was computed."""
+    expected_at: float = 0
+    """When ``expected`` was computed."""
 
     def serve(self, used: int, wanted: int, now: float) -> LimitStatus:
-        """Account for what an entry used; grant what is left."""
+        """Account for an entry's use and grant what is left."""
         bucket = self.bucket
         bucket.spend(used, now)
         granted = bucket.take(wanted, now)
         denied = wanted - granted
         return LimitStatus(
             granted,
-            bucket.level >= bucket.capacity * _AMPLE,
-            self._promise(denied, now) if denied else 0,
+            bucket.level >= bucket.capacity * _AMPLE_SHARE,
+            self._schedule_retry(denied, now) if denied else 0,
         )
 
-    def _promise(self, denied: int, now: float) -> float:
-        # Callers who come back one after the other find a token each; told
-        # the same time, all but one of them would be refused again.
-        came = (now - self.promised_at) * self.bucket.rate
-        self.promised = max(0, self.promised - came) + denied
-        self.promised_at = now
+    def _schedule_retry(self, denied: int, now: float) -> float:
+        # Denied callers are spaced out so that each finds a token; given the
+        # same delay, all but one of them would be refused again.
+        refilled = (now - self.expected_at) * self.bucket.rate
+        self.expected = max(0, self.expected - refilled) + denied
+        self.expected_at = now
         wait = self.bucket.next_token_in(now)
-        wait += (self.promised - 1) / self.bucket.rate
-        return max(_SHORTEST_WAIT, min(_LONGEST_WAIT, wait))
+        wait += (self.expected - 1) / self.bucket.rate
+        return max(_MIN_WAIT, min(_MAX_WAIT, wait))
 
 
 @dataclass(slots=True)
@@ -71,10 +72,10 @@
     """All limits that this entry owns."""
 
     limits: dict[LimitName, OwnedLimit] = field(default_factory=dict)
-    """The limits that somebody reported on, by name."""
+    """The limits that any entry reported on, by name."""
 
-    reserved: float = 0
-    """Share of each rate that is left to entries that cannot be heard."""
+    reserved_share: float = 0
+    """Share of each rate that is reserved for unreachable entries."""
 
     def serve(
         self,
@@ -89,14 +90,14 @@
         """Serve one entry; ``since`` is when this one became the owner."""
         owned = self.limits.get(name)
         if owned is None:
-            unasked = max(_FIRST_LEVEL, now - since)
-            owned = self._add(name, limit, limit.rate * unasked, now)
+            seconds = max(_INITIAL_SECONDS, now - since)
+            owned = self._add(name, limit, limit.rate * seconds, now)
         return owned.serve(used, wanted, now)
 
     def follow(
         self, limits: Mapping[LimitName, SharedLimit], now: float
     ) -> None:
-        """Bring changed limits into force, and forget those that are gone."""
+        """Apply changed limits and drop those that no longer exist."""
         for name in tuple(self.limits):
             limit = limits.get(name)
             if limit is None:
@@ -105,10 +106,10 @@
                 self._resize(self.limits[name], limit, now)
 
     def reserve(self, share: float, now: float) -> None:
-        """Leave a share of each rate to entries that cannot be heard."""
-        if share == self.reserved:
+        """Reserve a share of each rate for unreachable entries."""
+        if share == self.reserved_share:
             return
-        self.reserved = share
+        self.reserved_share = share
         for owned in self.limits.values():
             self._resize(owned, owned.limit, now)
 
@@ -117,7 +118,7 @@
         names: Iterable[LimitName],
         now: float,
     ) -> dict[LimitName, float]:
-        """Give up some limits; tells what is left of each."""
+        """Give up some limits; return the remaining tokens of each."""
         levels: dict[LimitName, float] = {}
         for name in names:
             bucket = self.limits.pop(name).bucket
@@ -132,7 +133,7 @@
         level: float,
         now: float,
     ) -> None:
-        """Go on where a predecessor ended."""
+        """Continue with the tokens that a predecessor left."""
         owned = self.limits.get(name)
         if owned is None:
             self._add(name, limit, level, now)
@@ -148,7 +149,7 @@
         now: float,
     ) -> OwnedLimit:
         bucket = TokenBucket(
-            limit.rate * (1 - self.reserved),
+            limit.rate * (1 - self.reserved_share),
             limit.capacity,
             min(level, limit.capacity),
             now,
@@ -160,5 +161,5 @@
         self, owned: OwnedLimit, limit: SharedLimit, now: float
     ) -> None:
         owned.limit = limit
-        rate = limit.rate * (1 - self.reserved)
+        rate = limit.rate * (1 - self.reserved_share)
         owned.bucket.resize(rate, limit.capacity, now)
--- a/worksrail/core/limits/_reports.py
+++ b/worksrail/core/limits/_reports.py
@@ -1,4 +1,4 @@
-"""Reports to owners that were not answered yet."""
+"""Reports to owners that are not answered yet."""
 
 from dataclasses import dataclass, field
 from typing import Final
@@ -6,43 +6,43 @@
 from worksrail.core.limits._messages import LimitName
 from worksrail.core.limits._verdicts import Ticket
 
-# Seconds within which an owner answers: twice the way to another region and
-# back, and as much again for busy instances.  A datagram that was lost costs
-# the callers who wait for it this time.
-_ANSWER_TIME: Final = 0.3
+# Seconds to wait for an owner's reply: twice the round trip to another region,
+# and as much again for busy instances.  A lost datagram delays the callers that
+# wait for it by this time.
+_REPLY_TIMEOUT: Final = 0.3
 
 Tickets = dict[LimitName, list[Ticket]]
 
 
 @dataclass(slots=True)
-class Report:
+class PendingReport:
     """A report that was sent and not answered yet."""
 
     sent_at: float
     """When it was sent."""
 
     tickets: Tickets
-    """The limits that it named, and the wishes that wait for its answer."""
+    """The limits that it named, and the admissions that wait for its reply."""
 
 
 @dataclass(slots=True)
-class Reports:
-    """All reports under way."""
+class PendingReports:
+    """All reports that are not answered yet."""
 
-    pending: dict[int, Report] = field(default_factory=dict)
+    pending: dict[int, PendingReport] = field(default_factory=dict)
     """Reports by number."""
 
     count: int = 0
-    """Reports so far."""
+    """Number of reports so far."""
 
-    def begin(self, tickets: Tickets, now: float) -> int:
-        """Note a report that is sent now; gives its number."""
+    def add(self, tickets: Tickets, now: float) -> int:
+        """Add a report that is sent now; return its number."""
         self.count += 1
-        self.pending[self.count] = Report(now, tickets)
+        self.pending[self.count] = PendingReport(now, tickets)
         return self.count
 
-    def answer(self, number: int, name: LimitName) -> list[Ticket]:
-        """The wishes that waited for the word on one limit."""
+    def pop_tickets(self, number: int, name: LimitName) -> list[Ticket]:
+        """Remove and return the admissions that waited for one limit."""
         report = self.pending.get(number)
         if report is None:
             return []
@@ -51,17 +51,17 @@
             self.pending.pop(number)
         return tickets
 
-    def take_overdue(self, now: float) -> list[Tickets]:
-        """What was named by reports that nobody answered in time."""
+    def pop_overdue(self, now: float) -> list[Tickets]:
+        """Remove the reports that timed out; return what they named."""
         overdue = [
             number
             for number, report in self.pending.items()
-            if now - report.sent_at > _ANSWER_TIME
+            if now - report.sent_at > _REPLY_TIMEOUT
         ]
         return [self.pending.pop(number).tickets for number in overdue]
 
-    def named(self) -> set[LimitName]:
-        """Limits that some report under way has named."""
+    def limit_names(self) -> set[LimitName]:
+        """Return the limits that are named in any pending report."""
         return {
             name for report in self.pending.values() for name in report.tickets
         }
--- a/worksrail/core/limits/_verdicts.py
+++ b/worksrail/core/limits/_verdicts.py
@@ -1,4 +1,4 @@
-"""What becomes of wishes to admit something, and what is to be sent."""
+"""Decisions on admissions, and the outputs of shared limits."""
 
 import random
 from dataclasses import dataclass
@@ -7,18 +7,19 @@
 
 from worksrail.core.limits._messages import LimitMessage
 
-# Spread of the time after which denied callers shall come back, as multiples
-# of the time at which a token is expected: those that an entry denies without
-# asking the owner would else all come back in the same millisecond.
-_RETURN_SPREAD: Final = (1.0, 1.3)
+# Jitter of the delay after which denied callers should retry, as multiples of
+# the time until the next token.  Otherwise all callers that an entry denies
+# without asking the owner would retry in the same millisecond.
+_RETRY_JITTER: Final = (1.0, 1.3)
 
 Ticket = int
-"""Names a wish that waits for the owner's word; its user's choice."""
+"""Identifies an admission that waits for the owner; chosen by the user of the
+limits."""
 
 
 @unique
 class Admission(Enum):
-    """What became of a wish to admit something."""
+    """Outcome of an admission request."""
 
     ADMITTED = 'it may go on'
     WAITING = 'the owner of the limit was asked'
@@ -27,29 +28,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """The answer to a wish to admit something."""
+    """Decision on an admission request."""
 
     admission: Admission
-    """What became of it."""
+    """The outcome."""
 
     wait: float = 0
-    """Seconds after which another try finds a token, if it was denied."""
+    """Seconds after which a retry finds a token, if the request was denied."""
 
     def pause(self, rng: random.Random) -> float:
-        """Seconds that a denied caller is told to wait: never too few.
+        """Return the delay for a denied caller: at least ``wait``, jittered.
 
         >>> 2 <= Verdict(Admission.DENIED, 2).pause(random.Random(1)) <= 2.6
         True
         """
-        return round(self.wait * rng.uniform(*_RETURN_SPREAD), 3)
+        return round(self.wait * rng.uniform(*_RETRY_JITTER), 3)
 
 
 @dataclass(frozen=True, slots=True)
 class Settled:
-    """A wish that waited has its verdict."""
+    """The decision on an admission that waited for the owner."""
 
     ticket: Ticket
-    """The wish."""
+    """The admission."""
 
     verdict: Verdict
     """Admitted or denied."""
@@ -60,10 +61,10 @@
     """A message to another entry."""
 
     peer: str
-    """Its address."""
+    """Address of the entry."""
 
     message: LimitMessage
-    """What to tell it."""
+    """The message."""
 
 
 LimitOutput = Settled | Addressed
--- a/worksrail/core/pacing/_pacer.py
+++ b/worksrail/core/pacing/_pacer.py
@@ -327,7 +327,7 @@
             # The sender takes another instance for the issuer than this one
             # does: until they agree nobody issues.
             return TokenShare(0, _FAR_ANSWER if wanted else 0)
-        heard = 1 - self._group_of(upstream).silent_share
+        heard = 1 - self._group_of(upstream).unreachable_share
         return self.issuer.issue(upstream, rate * heard, wanted, unused, now)
 
     def _told(
