--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -77,7 +77,7 @@
     limits = NamedLimits()
     if heard:
         limits.note('u', heard)
-    limits.take(told, 10)
+    limits.receive(told, 10)
     assert limits.rate_of('u') == rate
 
 
@@ -88,9 +88,9 @@
     for _ in range(200):
         now += 0.17
         for sender, receiver in ((one, other), (other, one)):
-            told = sender.tell('u', now)
+            told = sender.snapshot('u', now)
             assert told
-            receiver.take(told, now + 0.04)
+            receiver.receive(told, now + 0.04)
     one.note('u', _named(NoRate.NOT_NAMED, 1))
     assert one.rate_of('u') is None
 
@@ -125,7 +125,7 @@
 def test_endless_denials_are_survived() -> None:
     stock = TokenStock()
     for turn in range(5000):
-        stock.take(TokenShare(0, 2.0), float(turn))
+        stock.apply_share(TokenShare(0, 2.0), float(turn))
     assert stock.paused_until < inf
     assert stock.scarce_until <= 5000 + 8
 
--- a/worksrail/core/pacing/__init__.py
+++ b/worksrail/core/pacing/__init__.py
@@ -1,8 +1,8 @@
 """Paces requests to upstreams that name a rate limit in their answers.
 
-An upstream says in its answers how many requests a second it takes from all
-instances together.  One instance issues tokens for it; a request may be sent to
-it only with a token.
+An upstream names in its answers how many requests per second it accepts from
+all instances together.  One instance issues tokens for it, and a request may be
+sent to it only with a token.
 """
 
 from worksrail.core.pacing._advertised import AdvertisedLimit
--- a/worksrail/core/pacing/_advertised.py
+++ b/worksrail/core/pacing/_advertised.py
@@ -1,21 +1,22 @@
-"""What instances tell each other of limits that upstreams name."""
+"""Rate limits of upstreams, as instances advertise them to each other."""
 
 from typing import Final
 
 import msgspec
 
-AGES_PER_S: Final = 10
-"""Ages are told in whole parts of a second, so many in each."""
+AGE_STEPS_PER_SECOND: Final = 10
+"""Resolution of advertised ages."""
 
 
 class AdvertisedLimit(msgspec.Struct, frozen=True, array_like=True):
-    """What one upstream named last, as another instance knows."""
+    """The limit that one upstream last named, as known to the sender."""
 
     upstream: str
-    """Name of the upstream, in this life of it."""
+    """Name of the upstream's incarnation."""
 
     rate: float | None
-    """Requests a second that it takes; None if it names no limit any more."""
+    """Requests per second that it accepts; None if it names no limit any
+    more."""
 
     age: int
-    """Tenths of a second since it said so, rounded up."""
+    """Tenths of a second since it named the limit, rounded up."""
--- a/worksrail/core/pacing/_issuer.py
+++ b/worksrail/core/pacing/_issuer.py
@@ -7,21 +7,21 @@
 from worksrail.core.limits import OwnedLimit, SharedLimit, TokenBucket
 from worksrail.core.pacing._messages import TokenShare
 
-# Requests a second that an upstream gets in any case: without an answer nobody
-# would hear that its limit has ended.
-_LEAST_RATE: Final = 0.5
-# Seconds of its rate that come at once after a rest, and least of these
-# requests: instances ask some times a second only.
-_BURST: Final = 0.5
-_LEAST_BURST: Final = 2
+# Minimum requests per second for each upstream: without any answer, no instance
+# would learn that its limit has ended.
+_MIN_RATE: Final = 0.5
+# Burst after an idle time, in seconds of the rate, and its minimum in requests:
+# instances ask for tokens only a few times per second.
+_BURST_SECONDS: Final = 0.5
+_MIN_BURST: Final = 2
 
 
 @dataclass(slots=True)
 class TokenIssuer:
     """Issues tokens for requests to upstreams that name a limit.
 
-    In any span of time it issues the rate times the span and a burst at the
-    most, whoever asks.
+    In any interval it issues at most the rate times the length of the interval,
+    plus a burst, to all instances together.
     """
 
     owned: dict[str, OwnedLimit] = field(default_factory=dict)
@@ -35,11 +35,11 @@
         unused: int,
         now: float,
     ) -> TokenShare:
-        """Serve one instance within the rate that an upstream takes."""
-        limit = _limit_of(rate)
+        """Issue tokens to one instance within the rate of an upstream."""
+        limit = _limit_for(rate)
         owned = self.owned.get(upstream)
         if owned is None:
-            # Others may have sent up to the limit until now.
+            # Instances may have sent up to the limit until now.
             bucket = TokenBucket(limit.rate, limit.capacity, 0, now)
             owned = OwnedLimit(limit, bucket)
             self.owned[upstream] = owned
@@ -56,6 +56,6 @@
                 self.owned.pop(upstream)
 
 
-def _limit_of(rate: float) -> SharedLimit:
-    bounded = max(_LEAST_RATE, rate)
-    return SharedLimit(bounded, max(_LEAST_BURST, bounded * _BURST))
+def _limit_for(rate: float) -> SharedLimit:
+    clamped = max(_MIN_RATE, rate)
+    return SharedLimit(clamped, max(_MIN_BURST, clamped * _BURST_SECONDS))
--- a/worksrail/core/pacing/_messages.py
+++ b/worksrail/core/pacing/_messages.py
@@ -1,7 +1,7 @@
-"""What instances that use upstreams with limits tell those that issue tokens.
+"""Messages between instances that use rate-limited upstreams and token issuers.
 
-Each message is one datagram and may be lost.  The tokens of a lost grant are
-not used by anybody; those of a lost return come again at the rate.
+Each message is one datagram and may be lost.  The tokens of a lost grant stay
+unused; those of a lost return are replaced at the rate of the limit.
 """
 
 from dataclasses import dataclass
@@ -13,48 +13,48 @@
 
 
 class TokenRequest(msgspec.Struct, frozen=True, array_like=True, tag='tokens'):
-    """An instance asks for tokens, and returns some that it did not use."""
+    """An instance requests tokens, and returns some that it did not use."""
 
     sender: InstanceName
     """The instance."""
 
     peer: str
-    """Where it wants the grant."""
+    """Address for the grant."""
 
     number: int
     """Identifies the request at its sender."""
 
     wanted: dict[str, int]
-    """Tokens that it asks for, by upstream."""
+    """Number of requested tokens, by upstream."""
 
     unused: dict[str, int]
-    """Tokens that it returns, by upstream."""
+    """Number of returned tokens, by upstream."""
 
     limits: tuple[AdvertisedLimit, ...]
-    """What it believes of the limits of these upstreams."""
+    """Limits of these upstreams, as known to the sender."""
 
 
 class TokenShare(msgspec.Struct, frozen=True, array_like=True):
-    """What one instance gets of the tokens of one upstream."""
+    """Tokens of one upstream for one instance."""
 
     count: int
-    """Requests that it may send."""
+    """Number of requests that it may send."""
 
     wait: float
-    """Seconds after which to ask again; zero if nothing was denied."""
+    """Seconds until the next request for tokens; zero if none was denied."""
 
 
 class TokenGrant(msgspec.Struct, frozen=True, array_like=True, tag='grant'):
-    """The answer to a request for tokens."""
+    """Reply to a request for tokens."""
 
     number: int
-    """The request."""
+    """Number of the request."""
 
     shares: dict[str, TokenShare]
-    """What is granted, by upstream."""
+    """Granted tokens, by upstream."""
 
     limits: tuple[AdvertisedLimit, ...]
-    """What the issuer believes of the limits of these upstreams."""
+    """Limits of these upstreams, as known to the issuer."""
 
 
 PacingMessage = TokenRequest | TokenGrant
@@ -62,10 +62,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AddressedRequest:
-    """A request for tokens, and who shall get it."""
+    """A request for tokens, and the issuer it goes to."""
 
     peer: str
-    """Its address."""
+    """Address of the issuer."""
 
     request: TokenRequest
-    """What to tell it."""
+    """The message."""
--- a/worksrail/core/pacing/_named.py
+++ b/worksrail/core/pacing/_named.py
@@ -1,4 +1,4 @@
-"""The rate limit that an answer of an upstream names, read and bounded."""
+"""Parses the rate limit that an answer of an upstream names."""
 
 import re
 from collections.abc import Sequence
@@ -6,13 +6,14 @@
 from enum import Enum, unique
 from typing import Final
 
-# Digits before the point and after it; longer ones are no rate of an upstream.
+# At most 12 digits before and after the point; longer numbers are not valid
+# rates.
 _DECIMAL: Final = re.compile(r'\d{1,12}(\.\d{1,12})?(e\+?\d)?', re.ASCII)
 
 
 @unique
 class NoRate(Enum):
-    """Sentinel: why an answer gives no rate."""
+    """Sentinel: why an answer has no rate."""
 
     NOT_NAMED = 'the answer names no limit'
     UNREADABLE = 'expected one decimal number, zero or more'
@@ -20,19 +21,20 @@
 
 @dataclass(frozen=True, slots=True)
 class NamedLimit:
-    """What the head of one answer says of its upstream's limit."""
+    """The limit in the head of one answer."""
 
     rate: float | NoRate
-    """Requests a second that it takes from all instances together."""
+    """Requests per second that the upstream accepts from all instances
+    together."""
 
     received_at: float
     """When the head was read."""
 
 
 def read_rate(texts: Sequence[str]) -> float | NoRate:
-    """The rate in the values of a header, one for each time it came.
+    """Return the rate in the values of a header, one per occurrence.
 
-    The least one counts if there are several.
+    The lowest one counts if there are several.
 
     >>> read_rate(['0.5']), read_rate(['7', '5.1'])
     (0.5, 5.1)
--- a/worksrail/core/pacing/_named_limits.py
+++ b/worksrail/core/pacing/_named_limits.py
@@ -1,62 +1,66 @@
-"""Which upstreams name a limit, from own answers and from other instances."""
+"""Rate limits of upstreams, from their answers and from other instances."""
 
 from collections.abc import Container
 from dataclasses import dataclass, field
 from math import ceil, inf
 from typing import Final
 
-from worksrail.core.pacing._advertised import AGES_PER_S, AdvertisedLimit
+from worksrail.core.pacing._advertised import (
+    AGE_STEPS_PER_SECOND,
+    AdvertisedLimit,
+)
 from worksrail.core.pacing._named import NamedLimit, NoRate
 
-# Seconds by which answers of one upstream may overtake each other on their way
-# to one instance, and to different ones.
-_OVERTAKING: Final = 0.1
-_AGE_ERROR: Final = 0.3
-# Seconds for which a change is told: several messages, each of which may be
-# lost.
-_TOLD_FOR: Final = 2.0
-# Change of a rate from which others are told: those that use the upstream hear
-# each rate from it and from the instance that issues its tokens.
-_WORTH_TELLING: Final = 1.25
-# Seconds after which the end of a limit is forgotten.
-_ENDS_KEPT: Final = 60.0
+# Seconds by which answers of one upstream may be reordered on their way to one
+# instance, and to different ones.
+_REORDER_TOLERANCE: Final = 0.1
+_AGE_TOLERANCE: Final = 0.3
+# Seconds for which a change is advertised: several messages, each of which may
+# be lost.
+_ADVERTISED_FOR: Final = 2.0
+# Factor by which a rate must change to be advertised at once.  Smaller changes
+# need not be: instances that use the upstream learn each rate from its answers
+# and from the instance that issues its tokens.
+_SIGNIFICANT_FACTOR: Final = 1.25
+# Seconds for which the end of a limit is remembered.
+_ENDED_TTL: Final = 60.0
 
 
 @dataclass(frozen=True, slots=True)
 class LimitChange:
-    """A limit that begins, changes or ends, as this instance believes."""
+    """A limit that begins, changes or ends, as observed by this instance."""
 
     upstream: str
     """Name of the upstream."""
 
     before: float | None
-    """Rate that was believed; None if there was no limit."""
+    """Previous rate; None if there was no limit."""
 
     after: float | None
-    """Rate that is believed now; None if there is no limit any more."""
+    """Present rate; None if there is no limit any more."""
 
     from_peer: bool = False
-    """Another instance told of it."""
+    """Whether another instance advertised the change."""
 
 
 @dataclass(slots=True)
-class _Belief:
+class _Observation:
     rate: float | None
     received_at: float
     changed_at: float = -inf
-    told_rate: float | None = None
-    told_at: float = -inf
+    advertised_rate: float | None = None
+    advertised_at: float = -inf
 
     def set(self, rate: float | None, now: float) -> None:
         self.rate = rate
-        if _differ(rate, self.told_rate):
-            self.told_rate = rate
+        if _differ_significantly(rate, self.advertised_rate):
+            self.advertised_rate = rate
             self.changed_at = now
 
 
 @dataclass(slots=True)
 class NamedLimits:
-    """The limits that upstreams named last.
+    """The rate limits that upstreams last named.
 
     >>> limits = NamedLimits()
     >>> limits.note('u1', NamedLimit(5, received_at=1)).after
@@ -65,124 +69,137 @@
     >>> limits.rate_of('u1')
     """
 
-    beliefs: dict[str, _Belief] = field(default_factory=dict)
-    """What is believed, by upstream; an end is kept for a while."""
+    observations: dict[str, _Observation] = field(default_factory=dict)
+    """Latest observation by upstream; ended limits are kept for a while."""
 
     def rate_of(self, upstream: str) -> float | None:
-        """Requests a second that it takes; None if it names no limit."""
-        belief = self.beliefs.get(upstream)
-        return belief.rate if belief else None
+        """Return the rate that an upstream accepts; None without a limit."""
+        observation = self.observations.get(upstream)
+        return observation.rate if observation else None
 
     def note(self, upstream: str, named: NamedLimit) -> LimitChange | None:
-        """Take in an answer of an upstream; gives what it changes.
+        """Record an answer of an upstream; return the change, if any.
 
         An answer with an unreadable limit neither begins nor ends one.
         """
-        belief = self.beliefs.get(upstream)
+        observation = self.observations.get(upstream)
         if isinstance(named.rate, NoRate):
-            if named.rate is NoRate.UNREADABLE or belief is None:
+            if named.rate is NoRate.UNREADABLE or observation is None:
                 return None
-            if named.received_at <= belief.received_at + _OVERTAKING:
+            if (
+                named.received_at
+                <= observation.received_at + _REORDER_TOLERANCE
+            ):
                 return None
-            return self._set(upstream, belief, None, named.received_at)
-        if belief is None:
-            belief = self._add(upstream, named.received_at)
-        elif named.received_at < belief.received_at:
+            return self._set(upstream, observation, None, named.received_at)
+        if observation is None:
+            observation = self._add(upstream, named.received_at)
+        elif named.received_at < observation.received_at:
             return None
-        return self._set(upstream, belief, named.rate, named.received_at)
+        return self._set(upstream, observation, named.rate, named.received_at)
 
-    def take(self, told: AdvertisedLimit, now: float) -> LimitChange | None:
-        """Take in what another instance tells; gives what it changes.
+    def receive(
+        self, advertised: AdvertisedLimit, now: float
+    ) -> LimitChange | None:
+        """Merge what another instance advertises; return the change, if any.
 
-        Of two words that are about as old the stricter one counts.
+        Of two observations of about the same age the stricter one counts.
         """
-        at = now - told.age / AGES_PER_S
-        belief = self.beliefs.get(told.upstream)
-        if belief is None:
-            if told.rate is None:
+        at = now - advertised.age / AGE_STEPS_PER_SECOND
+        observation = self.observations.get(advertised.upstream)
+        if observation is None:
+            if advertised.rate is None:
                 return None
-            belief = self._add(told.upstream, at)
-        elif not _outweighs(told.rate, at, belief):
+            observation = self._add(advertised.upstream, at)
+        elif not _supersedes(advertised.rate, at, observation):
             return None
-        received_at = max(at, belief.received_at)
-        change = self._set(told.upstream, belief, told.rate, received_at)
-        belief.changed_at = now if change else belief.changed_at
+        received_at = max(at, observation.received_at)
+        change = self._set(
+            advertised.upstream, observation, advertised.rate, received_at
+        )
+        observation.changed_at = now if change else observation.changed_at
         return change and LimitChange(
             change.upstream, change.before, change.after, from_peer=True
         )
 
-    def tell(self, upstream: str, now: float) -> AdvertisedLimit | None:
-        """What is believed of one upstream, for another instance."""
-        belief = self.beliefs.get(upstream)
-        if belief is None:
+    def snapshot(self, upstream: str, now: float) -> AdvertisedLimit | None:
+        """Return the limit of one upstream, to be sent to another instance."""
+        observation = self.observations.get(upstream)
+        if observation is None:
             return None
-        age = ceil(max(0, now - belief.received_at) * AGES_PER_S)
-        return AdvertisedLimit(upstream, belief.rate, age)
+        age = ceil(max(0, now - observation.received_at) * AGE_STEPS_PER_SECOND)
+        return AdvertisedLimit(upstream, observation.rate, age)
 
     def advertise(
         self,
-        most: int,
+        max_count: int,
         now: float,
         *,
         with_all: bool,
     ) -> tuple[AdvertisedLimit, ...]:
-        """What to tell others: changes, or whatever was told least lately.
+        """Return what to advertise, the least recently advertised first.
 
-        Instances that have just started know of no limit at all.
+        These are recent changes; with ``with_all`` all limits, as instances
+        that have just started know none.
         """
         due = [
-            (belief.told_at, upstream)
-            for upstream, belief in self.beliefs.items()
-            if now - belief.changed_at < _TOLD_FOR
-            or (with_all and belief.rate is not None)
+            (observation.advertised_at, upstream)
+            for upstream, observation in self.observations.items()
+            if now - observation.changed_at < _ADVERTISED_FOR
+            or (with_all and observation.rate is not None)
         ]
-        chosen = [upstream for _, upstream in sorted(due)[:most]]
+        chosen = [upstream for _, upstream in sorted(due)[:max_count]]
         for upstream in chosen:
-            self.beliefs[upstream].told_at = now
-        told = (self.tell(upstream, now) for upstream in chosen)
-        return tuple(one for one in told if one)
+            self.observations[upstream].advertised_at = now
+        snapshots = (self.snapshot(upstream, now) for upstream in chosen)
+        return tuple(one for one in snapshots if one)
 
     def forget(self, known: Container[str], now: float) -> None:
-        """Drop upstreams that are gone, and ends of limits that are old."""
+        """Drop upstreams that are gone, and limits that ended long ago."""
         gone = [
             upstream
-            for upstream, belief in self.beliefs.items()
+            for upstream, observation in self.observations.items()
             if upstream not in known
-            or (belief.rate is None and now - belief.received_at > _ENDS_KEPT)
+            or (
+                observation.rate is None
+                and now - observation.received_at > _ENDED_TTL
+            )
         ]
         for upstream in gone:
-            self.beliefs.pop(upstream)
+            self.observations.pop(upstream)
 
-    def _add(self, upstream: str, received_at: float) -> _Belief:
-        belief = _Belief(None, received_at)
-        self.beliefs[upstream] = belief
-        return belief
+    def _add(self, upstream: str, received_at: float) -> _Observation:
+        observation = _Observation(None, received_at)
+        self.observations[upstream] = observation
+        return observation
 
     def _set(
         self,
         upstream: str,
-        belief: _Belief,
+        observation: _Observation,
         rate: float | None,
         received_at: float,
     ) -> LimitChange | None:
-        before = belief.rate
-        belief.received_at = received_at
-        belief.set(rate, received_at)
+        before = observation.rate
+        observation.received_at = received_at
+        observation.set(rate, received_at)
         if rate == before:
             return None
         return LimitChange(upstream, before, rate)
 
 
-def _differ(one: float | None, other: float | None) -> bool:
+def _differ_significantly(one: float | None, other: float | None) -> bool:
     if one is None or other is None:
         return one is not other
-    least, most = sorted((one, other))
-    return most > least * _WORTH_TELLING
+    low, high = sorted((one, other))
+    return high > low * _SIGNIFICANT_FACTOR
 
 
-def _outweighs(rate: float | None, at: float, belief: _Belief) -> bool:
-    if at > belief.received_at + _AGE_ERROR:
+def _supersedes(
+    rate: float | None, at: float, observation: _Observation
+) -> bool:
+    if at > observation.received_at + _AGE_TOLERANCE:
         return True
-    if rate is None or at < belief.received_at - _AGE_ERROR:
+    if rate is None or at < observation.received_at - _AGE_TOLERANCE:
         return False
-    return belief.rate is None or rate < belief.rate
+    return observation.rate is None or rate < observation.rate
--- a/worksrail/core/pacing/_pacer.py
+++ b/worksrail/core/pacing/_pacer.py
@@ -1,4 +1,4 @@
-"""Both sides of all named limits at one instance."""
+"""Rate limits of upstreams at one instance, as token user and as issuer."""
 
 from collections.abc import (
     Callable,
@@ -25,12 +25,12 @@
 from worksrail.core.pacing._named_limits import LimitChange, NamedLimits
 from worksrail.core.pacing._stock import TokenStock
 
-# Seconds in which an issuer's answer is awaited, in the own region and in
-# another one: the way there and back fits in several times.
-_NEAR_ANSWER: Final = 0.08
-_FAR_ANSWER: Final = 0.2
-# Seconds between two looks at who may issue tokens.
-_LOOK_INTERVAL: Final = 0.5
+# Seconds to wait for an issuer's answer, in the own region and in another one:
+# several round trips.
+_NEAR_TIMEOUT: Final = 0.08
+_FAR_TIMEOUT: Final = 0.2
+# Seconds between updates of the possible issuers.
+_GROUP_UPDATE_INTERVAL: Final = 0.5
 
 ALL_REGIONS: Final = ''
 """Group of the instances of all regions."""
@@ -46,71 +46,71 @@
 
 
 @dataclass(slots=True)
-class _Asked:
-    give_up_at: float
+class _PendingRequest:
+    expires_at: float
     upstreams: tuple[str, ...]
 
 
 @dataclass(slots=True)
 class Pacer:
-    """Keeps the limits that upstreams name, over all instances.
+    """Enforces the limits that upstreams name, over all instances.
 
-    Each upstream has one issuer among the instances of its region that live,
-    drawn by rendezvous hashing.  A request may be sent with a token of it only;
-    tokens that are not used soon are returned.
+    Each upstream has one issuer among the live instances of its region, chosen
+    by rendezvous hashing.  A request may be sent only with a token of the
+    issuer; tokens that are not used soon are returned.
     """
 
     name: InstanceName
-    """This instance."""
+    """Name of this instance."""
 
     peer: str
-    """Where others reach it."""
+    """Address of this instance for messages."""
 
     region: RegionName
-    """Where it runs."""
+    """Region of this instance."""
 
     region_of: Callable[[str], RegionName]
     """Region of an upstream; empty if it is not known."""
 
     limits: NamedLimits = field(default_factory=NamedLimits)
-    """What upstreams named."""
+    """Limits that upstreams named."""
 
     groups: Mapping[RegionName, Members] = field(default_factory=dict)
     """Instances that may issue tokens, by region."""
 
     issuer: TokenIssuer = field(default_factory=TokenIssuer)
-    """Tokens that this instance issues."""
+    """Issues the tokens that this instance is responsible for."""
 
     stocks: dict[str, TokenStock] = field(default_factory=dict)
     """Tokens that this instance holds, by upstream."""
 
-    asked: dict[int, _Asked] = field(default_factory=dict)
-    """Requests for tokens that were not answered yet, by number."""
+    asked: dict[int, _PendingRequest] = field(default_factory=dict)
+    """Token requests that are not answered yet, by number."""
 
-    wanting: set[str] = field(default_factory=set)
-    """Upstreams whose tokens are wanted and were not asked for yet."""
+    in_demand: set[str] = field(default_factory=set)
+    """Upstreams whose tokens are needed and not requested yet."""
 
     used: int = 0
-    """Requests that were sent with a token since this was taken last."""
+    """Requests sent with a token since the last ``take_used``."""
 
-    next_look_at: float = 0
-    """When to look next at who may issue tokens."""
+    next_group_update_at: float = 0
+    """When to update the possible issuers next."""
 
     numbered: int = 0
-    """Requests for tokens so far."""
+    """Number of token requests so far."""
 
-    drawn: dict[str, InstanceName] = field(default_factory=dict)
-    """Issuers that were drawn among the present groups, by upstream."""
+    issuers: dict[str, InstanceName] = field(default_factory=dict)
+    """Cached issuers among the present groups, by upstream."""
 
     # -- requests
 
     @property
     def has_limits(self) -> bool:
-        """Whether any upstream has named a limit lately."""
-        return bool(self.limits.beliefs)
+        """Whether any upstream has recently named a limit."""
+        return bool(self.limits.observations)
 
     def rate_of(self, upstream: str) -> float | None:
-        """Requests a second that an upstream takes; None for no limit."""
+        """Return the rate that an upstream accepts; None without a limit."""
         return self.limits.rate_of(upstream)
 
     def is_limited(self, upstream: str) -> bool:
@@ -126,35 +126,36 @@
             return Permission.GRANTED
         if now < stock.paused_until or not self._issuer_of(upstream):
             return Permission.DENIED
-        if self._is_far(upstream) and now < stock.scarce_until:
+        if self._is_remote(upstream) and now < stock.scarce_until:
             return Permission.DENIED
         return Permission.TOKEN_NEEDED
 
     def add_demand(self, upstream: str) -> None:
-        """A request would have gone there with a token."""
+        """Count a request that would be sent there if it had a token."""
         self._stock(upstream).wanted += 1
-        self.wanting.add(upstream)
+        self.in_demand.add(upstream)
 
     def wait(self, upstream: str, now: float) -> float:
-        """Seconds until its issuer expects to have a token."""
+        """Return the seconds until the issuer expects to have a token."""
         return max(0, self._stock(upstream).retry_at - now)
 
     def record_sent(self, upstream: str, now: float) -> None:
-        """A request is sent."""
+        """Use a token for a request that is sent."""
         if self.is_limited(upstream):
             self.used += 1
             self._stock(upstream).spend(now)
 
     def take_used(self) -> int:
-        """Requests that were sent with a token; each is given once."""
+        """Return and reset the number of requests sent with a token."""
         used = self.used
         self.used = 0
         return used
 
     def obtain(self, upstream: str, now: float) -> Permission:
-        """The same, with a token that this instance issues itself if it may.
+        """Obtain a token if needed, and return whether a request may be sent.
 
-        A request that needs another one's has to wait.
+        If this instance is the issuer, it issues the token at once.  Otherwise
+        the request has to wait for the issuer.
         """
         found = self.permission(upstream, now)
         stock = self._stock(upstream)
@@ -162,27 +163,27 @@
             if self._issuer_of(upstream) != self.name:
                 self.add_demand(upstream)
                 return found
-            stock.take(self._issue(upstream, 1, 0, now), now)
+            stock.apply_share(self._issue(upstream, 1, 0, now), now)
             return self.permission(upstream, now)
         return found
 
-    # -- what changes from outside
+    # -- issuers and upstreams
 
     def is_group_update_due(self, now: float) -> bool:
-        """Whether to look at who may issue tokens."""
-        return now >= self.next_look_at
+        """Whether to update the possible issuers."""
+        return now >= self.next_group_update_at
 
     def follow(
         self,
         groups: Mapping[RegionName, Members],
         now: float,
     ) -> None:
-        """Take in who may issue tokens."""
-        self.next_look_at = now + _LOOK_INTERVAL
+        """Set the instances that may issue tokens."""
+        self.next_group_update_at = now + _GROUP_UPDATE_INTERVAL
         if groups == self.groups:
             return
         self.groups = groups
-        self.drawn.clear()
+        self.issuers.clear()
         owned = {
             upstream
             for upstream in self.issuer.owned
@@ -199,10 +200,10 @@
                 self.stocks.pop(upstream)
 
     def handle_pause(self) -> None:
-        """The process stood still: tokens are old, others issue by now."""
+        """Handle a suspension of the process: others issue tokens by now."""
         self.issuer.owned.clear()
         self.stocks.clear()
-        self.wanting.clear()
+        self.in_demand.clear()
         self.asked.clear()
 
     # -- messages
@@ -213,24 +214,24 @@
         *,
         for_all: bool = True,
     ) -> Iterator[AddressedRequest]:
-        """Ask for what is wanted.
+        """Yield requests for the tokens that are needed.
 
-        For all upstreams, ask in advance too, and return what was not used.
+        With ``for_all``, also request tokens in advance and return unused ones.
         """
         wanted: dict[InstanceName, dict[str, int]] = {}
         unused: dict[InstanceName, dict[str, int]] = {}
-        names = tuple(self.stocks) if for_all else sorted(self.wanting)
-        self.wanting.clear()
+        names = tuple(self.stocks) if for_all else sorted(self.in_demand)
+        self.in_demand.clear()
         for upstream in names:
             stock = self._stock(upstream)
             issuer = self._issuer_of(upstream)
             if not issuer or not self.is_limited(upstream):
                 stock.clear()
                 continue
-            returned = stock.take_unused(now)
+            returned = stock.pop_unused(now)
             if returned:
                 unused.setdefault(issuer, {})[upstream] = returned
-            count = stock.to_ask(now)
+            count = stock.tokens_to_request(now)
             stock.wanted = 0
             if count:
                 wanted.setdefault(issuer, {})[upstream] = count
@@ -244,7 +245,7 @@
                 yield AddressedRequest(self._peer_of(receiver), request)
 
     def serve(self, request: TokenRequest, now: float) -> TokenGrant:
-        """Issue tokens, if this instance is who issues them."""
+        """Issue tokens for the upstreams whose issuer is this instance."""
         shares = {
             upstream: self._issue(
                 upstream,
@@ -257,27 +258,28 @@
             )
         }
         return TokenGrant(
-            request.number, shares, self._told(request.wanted, now)
+            request.number, shares, self._known_limits(request.wanted, now)
         )
 
     def receive_grant(self, grant: TokenGrant, now: float) -> tuple[str, ...]:
-        """Take in a grant; gives the upstreams that were asked for.
+        """Apply a grant; return the upstreams whose tokens were requested.
 
-        One that comes too late is left alone: a successor may issue by now.
+        A grant that comes too late is ignored: another instance may be the
+        issuer by now.
         """
         asked = self.asked.pop(grant.number, None)
         if asked is None:
             return ()
         for upstream, share in grant.shares.items():
-            self._stock(upstream).take(share, now)
+            self._stock(upstream).apply_share(share, now)
         return asked.upstreams
 
     def expire_requests(self, now: float) -> tuple[str, ...]:
-        """Upstreams whose issuers did not answer in time."""
+        """Return the upstreams whose issuers did not answer in time."""
         overdue = [
             number
             for number, asked in self.asked.items()
-            if now >= asked.give_up_at
+            if now >= asked.expires_at
         ]
         silent = [
             upstream
@@ -285,10 +287,10 @@
             for upstream in self.asked.pop(number).upstreams
         ]
         for upstream in silent:
-            self._stock(upstream).note_silence(now)
+            self._stock(upstream).record_timeout(now)
         return tuple(silent)
 
-    # -- parts of these
+    # -- helpers
 
     def _request(
         self,
@@ -303,13 +305,13 @@
             self.numbered,
             wanted,
             unused,
-            self._told(wanted, now),
+            self._known_limits(wanted, now),
         )
         if wanted:
-            near = any(not self._is_far(upstream) for upstream in wanted)
-            answer_time = _NEAR_ANSWER if near else _FAR_ANSWER
-            self.asked[request.number] = _Asked(
-                now + answer_time, tuple(wanted)
+            near = any(not self._is_remote(upstream) for upstream in wanted)
+            timeout = _NEAR_TIMEOUT if near else _FAR_TIMEOUT
+            self.asked[request.number] = _PendingRequest(
+                now + timeout, tuple(wanted)
             )
         return request
 
@@ -324,21 +326,23 @@
         if rate is None:
             return TokenShare(wanted, 0)
         if self._issuer_of(upstream) != self.name:
-            # The sender takes another instance for the issuer than this one
-            # does: until they agree nobody issues.
-            return TokenShare(0, _FAR_ANSWER if wanted else 0)
-        heard = 1 - self._group_of(upstream).unreachable_share
-        return self.issuer.issue(upstream, rate * heard, wanted, unused, now)
+            # The two instances disagree on the issuer: no tokens are issued
+            # until they agree.
+            return TokenShare(0, _FAR_TIMEOUT if wanted else 0)
+        reachable_share = 1 - self._group_of(upstream).unreachable_share
+        return self.issuer.issue(
+            upstream, rate * reachable_share, wanted, unused, now
+        )
 
-    def _told(
+    def _known_limits(
         self,
         upstreams: Iterable[str],
         now: float,
     ) -> tuple[AdvertisedLimit, ...]:
-        told = (self.limits.tell(upstream, now) for upstream in upstreams)
-        return tuple(one for one in told if one)
+        limits = (self.limits.snapshot(upstream, now) for upstream in upstreams)
+        return tuple(one for one in limits if one)
 
-    def _is_far(self, upstream: str) -> bool:
+    def _is_remote(self, upstream: str) -> bool:
         return self.region_of(upstream) != self.region
 
     def _group_of(self, upstream: str) -> Members:
@@ -348,11 +352,11 @@
         return self.groups.get(ALL_REGIONS, Members({}, 1))
 
     def _issuer_of(self, upstream: str) -> InstanceName:
-        issuer = self.drawn.get(upstream)
+        issuer = self.issuers.get(upstream)
         if issuer is None:
             peers = self._group_of(upstream).peers
             issuer = rendezvous(f'pace|{upstream}', peers)
-            self.drawn[upstream] = issuer
+            self.issuers[upstream] = issuer
         return issuer
 
     def _peer_of(self, name: InstanceName) -> str:
@@ -368,13 +372,13 @@
 
 def receive_limits(
     pacer: Pacer,
-    told: Iterable[AdvertisedLimit],
+    advertised: Iterable[AdvertisedLimit],
     known: Container[str],
     now: float,
 ) -> Iterator[LimitChange]:
-    """Take in what another instance tells of upstreams that are known here."""
-    for one in told:
+    """Merge the limits that a peer advertises of upstreams known here."""
+    for one in advertised:
         if one.upstream in known:
-            change = pacer.limits.take(one, now)
+            change = pacer.limits.receive(one, now)
             if change:
                 yield change
--- a/worksrail/core/quarantine/__init__.py
+++ b/worksrail/core/quarantine/__init__.py
@@ -1,8 +1,8 @@
 """Requests that crash the upstreams which execute them.
 
-Such a request is known by its fingerprint, whichever instance it comes to.
-After it has crashed a few upstreams one after the other it is held: refused
-at once, by all instances, and tried again after a while.
+Such a request is identified by its fingerprint, whichever instance receives it.
+After it has crashed several upstreams one after the other it is held: all
+instances refuse it at once, and it is tried again after a while.
 
 >>> quarantine = Quarantine()
 >>> for at, upstream in enumerate(('i-1', 'i-2', 'i-3')):
--- a/worksrail/core/quarantine/_advertised.py
+++ b/worksrail/core/quarantine/_advertised.py
@@ -1,4 +1,4 @@
-"""What instances tell each other of requests that crash upstreams."""
+"""Crashes of requests, as instances advertise them to each other."""
 
 import msgspec
 
@@ -6,17 +6,17 @@
 
 
 class AdvertisedCrashes(msgspec.Struct, frozen=True, array_like=True):
-    """Crashes under one request, as one instance knows them."""
+    """Upstream crashes that one request caused, as known to the sender."""
 
     fingerprint: Fingerprint
     """The request."""
 
     count: int
-    """Upstreams that crashed under it one after the other; zero if it has
-    been answered since."""
+    """Number of upstreams that crashed one after the other while executing it;
+    zero if it has been answered since."""
 
     age: int
     """Tenths of a second since the last crash, or since the answer."""
 
     upstream: int = 0
-    """Hash of the upstream that crashed last."""
+    """Hash of the name of the upstream that crashed last."""
--- a/worksrail/core/quarantine/_fingerprints.py
+++ b/worksrail/core/quarantine/_fingerprints.py
@@ -1,4 +1,4 @@
-"""Fingerprints: what makes two arrivals the same request."""
+"""Fingerprints, which identify a request when it arrives again."""
 
 import hashlib
 from collections.abc import Iterable
@@ -16,10 +16,10 @@
     texts: Iterable[str],
     body_digest: bytes,
 ) -> Fingerprint:
-    """Hash the parts of a request that repeat when it comes again.
+    """Hash the parts of a request that are the same when it arrives again.
 
-    The hash is keyed: who reads it in a log or a message cannot try out which
-    cookie or body it stands for.
+    The hash is keyed, so that a reader of logs or messages cannot guess the
+    cookie or body by trying candidates.
 
     >>> one = fingerprint(b'k', ('ab', 'c'), b'')
     >>> one == fingerprint(b'k', ('a', 'bc'), b'')
@@ -39,7 +39,7 @@
 
 
 def label(request: Fingerprint) -> str:
-    """A fingerprint as logs spell it.
+    """Format a fingerprint for logs.
 
     >>> label(255)
     '00000000000000ff'
--- a/worksrail/core/quarantine/_quarantine.py
+++ b/worksrail/core/quarantine/_quarantine.py
@@ -1,4 +1,4 @@
-"""Counts crashes by request, and holds the requests that cause them."""
+"""Counts upstream crashes by request, and holds requests that cause them."""
 
 import random
 from dataclasses import dataclass, field
@@ -11,45 +11,46 @@
 from worksrail.core.quarantine._fingerprints import Fingerprint
 
 CRASHES_UNTIL_HELD: Final = 3
-"""Crashes one after the other from which a request is held."""
+"""Number of crashes one after the other at which a request is held."""
 
-# Seconds for which a request is held, first and after each crash when it was
-# tried again.
+# Seconds for which a request is held: at first, and after each further crash of
+# an attempt that tried it again.
 _HOLDS: Final = (2.0, 30.0, 120.0, 600.0, 3600.0)
-# Seconds for which crashes below the limit count.
-_MEMORY: Final = 60.0
-# Hold times after which a held request that does not come again is forgotten.
-_HOLDS_KEPT: Final = 2
-# Requests that are remembered at once.
-_MOST_RECORDS: Final = 1000
-# Upstreams whose last crash is remembered.
-_MOST_BROKEN: Final = 1000
-# Seconds for which a change is told: several messages, each of which may be
-# lost.
-_TOLD_FOR: Final = 2.0
-# Requests that are held and told although nothing has changed, in one message.
-_HELD_TOLD: Final = 4
-# Ages are told in tenths of a second and grow on their way: an answer counts
-# as later than a crash that seems to be so many seconds younger.
-_AGE_ERROR: Final = 0.3
-_AGES_PER_S: Final = 10
+# Seconds for which crashes below that number count.
+_CRASH_TTL: Final = 60.0
+# A held request that does not arrive again is forgotten after this many hold
+# times.
+_RETAINED_HOLDS: Final = 2
+# Maximum number of requests that are remembered.
+_MAX_RECORDS: Final = 1000
+# Maximum number of upstreams whose last crash is remembered.
+_MAX_CRASHED_UPSTREAMS: Final = 1000
+# Seconds for which a change is advertised: several messages, each of which may
+# be lost.
+_ADVERTISED_FOR: Final = 2.0
+# Maximum number of held requests without a change that one message advertises.
+_MAX_HELD_ADVERTISED: Final = 4
+# Ages are advertised in tenths of a second and grow in transit.  So an answer
+# counts as later than a crash that seems younger by less than this, in seconds.
+_AGE_TOLERANCE: Final = 0.3
+_AGE_STEPS_PER_SECOND: Final = 10
 
 
 @dataclass(frozen=True, slots=True)
 class Crash:
-    """An attempt that ended with a crash of its upstream."""
+    """An attempt during which its upstream crashed."""
 
     upstream: str
-    """Name of the upstream, in this life of it."""
+    """Name of the upstream's incarnation."""
 
     number: int = 1
-    """Which one it is in a row, by what was known when the request was sent."""
+    """Its number in the row of crashes, as known when the request was sent."""
 
     last_success_at: float = -inf
-    """When the upstream last answered anything, as this instance knows."""
+    """When the upstream last answered anything, as known to this instance."""
 
     sent_at: float = -inf
-    """When the attempt was begun."""
+    """When the attempt started."""
 
 
 @dataclass(slots=True)
@@ -58,7 +59,7 @@
     crashed_at: float = -inf
     answered_at: float = -inf
     changed_at: float = -inf
-    told_at: float = -inf
+    advertised_at: float = -inf
     upstreams: set[int] = field(default_factory=set)
     last_upstream: int = 0
 
@@ -80,29 +81,30 @@
         self.changed_at = now
 
     def is_stale(self, now: float) -> bool:
-        kept = max(_MEMORY, self.hold * _HOLDS_KEPT)
+        kept = max(_CRASH_TTL, self.hold * _RETAINED_HOLDS)
         return now - max(self.crashed_at, self.answered_at) > kept
 
 
 @dataclass(slots=True)
 class Quarantine:
-    """Which requests crash upstreams, from own attempts and from others.
-
-    Crashes count only one after the other: an attempt that was begun before a
-    crash became known adds nothing to it.  Upstreams that fail at the same
-    moment, whatever the cause, so count once for each request, and a request
-    that was merely beside the one at fault has to meet it again and again.
-    An upstream counts again only if it was well in between: one that breaks
-    under everything says nothing of a request.  Nor does one that had crashed
-    before the attempt and has answered nothing since: it may still be away.
-    An answer of any upstream clears a request.
+    """Requests that crash upstreams, from own attempts and from peers.
+
+    Crashes count only one after the other: an attempt that started before a
+    crash became known does not add to it.  So upstreams that fail at the same
+    time, whatever the cause, count once for each request.  A request that was
+    merely running beside the one at fault reaches the limit only if this
+    happens several times in a row.  An upstream counts again only if it
+    answered in between: one that fails every request is no evidence against
+    any of them.  Nor is one that had crashed before the attempt and has not
+    answered since: it may still be down.  An answer of any upstream clears a
+    request.
     """
 
     records: dict[Fingerprint, _Record] = field(default_factory=dict)
-    """What is known, by request."""
+    """Crashes and answers, by request."""
 
-    broken: dict[int, float] = field(default_factory=dict)
-    """When upstreams crashed last, by the hashes of their names."""
+    last_crashes: dict[int, float] = field(default_factory=dict)
+    """Time of each upstream's last crash, by the hash of its name."""
 
     def hold_time(
         self,
@@ -110,10 +112,10 @@
         now: float,
         number: int = 0,
     ) -> float:
-        """Seconds for which a request is still held; zero if it is not.
+        """Return the seconds for which a request is still held, or zero.
 
-        The request of a trial may go on until a further crash is known: it
-        gives the number that a crash of its attempt would have.
+        The attempt that tries a held request passes the number that its crash
+        would have, and is not held until a further crash is known.
         """
         record = self._record(request, now)
         if record is None or not record.held or record.count <= number:
@@ -121,9 +123,9 @@
         return max(0, record.crashed_at + record.hold - now)
 
     def begin(self, request: Fingerprint, now: float) -> int:
-        """Note that a request is sent; gives the number a crash would have.
+        """Record that a request is sent; return the number of a next crash.
 
-        One that was held counts as crashed until it is answered, so that the
+        A held request counts as crashed again until it is answered, so that
         other instances do not try it at the same time.
         """
         record = self._record(request, now)
@@ -142,20 +144,20 @@
         crash: Crash,
         now: float,
     ) -> int:
-        """An upstream crashed under a request; gives the crashes in a row."""
+        """Record a crash during a request; return the crashes in a row."""
         upstream = xxhash.xxh32_intdigest(crash.upstream.encode())
-        away = (
+        unavailable = (
             crash.last_success_at
-            < self.broken.get(upstream, -inf)
+            < self.last_crashes.get(upstream, -inf)
             < crash.sent_at
         )
-        self._note_broken(upstream, now)
+        self._record_upstream_crash(upstream, now)
         record = self._record(request, now)
-        if away:
+        if unavailable:
             return record.count if record else 0
         record = record or self._add(request)
-        was_well = crash.last_success_at > record.crashed_at
-        if upstream not in record.upstreams or was_well:
+        answered_since = crash.last_success_at > record.crashed_at
+        if upstream not in record.upstreams or answered_since:
             record.count = max(record.count, crash.number)
         record.upstreams.add(upstream)
         record.last_upstream = upstream
@@ -164,7 +166,7 @@
         return record.count
 
     def record_response(self, request: Fingerprint, now: float) -> int:
-        """An upstream answered a request; gives the crashes this clears."""
+        """Record an answer to a request; return the crashes that it clears."""
         record = self._record(request, now)
         if record is None or not record.count:
             return 0
@@ -172,29 +174,29 @@
         record.clear(now, now)
         return cleared
 
-    def receive(self, told: AdvertisedCrashes, now: float) -> bool:
-        """Take in what another instance tells; true if that holds a request."""
-        at = now - told.age / _AGES_PER_S
-        record = self._record(told.fingerprint, now)
-        if told.count:
-            return self._take_crashes(record, told, at, now)
-        if record and record.count and at > record.crashed_at - _AGE_ERROR:
+    def receive(self, advertised: AdvertisedCrashes, now: float) -> bool:
+        """Merge an advertisement; return whether the request becomes held."""
+        at = now - advertised.age / _AGE_STEPS_PER_SECOND
+        record = self._record(advertised.fingerprint, now)
+        if advertised.count:
+            return self._merge_crashes(record, advertised, at, now)
+        if record and record.count and at > record.crashed_at - _AGE_TOLERANCE:
             record.clear(at, now)
         return False
 
     def advertise(
         self,
-        most: int,
+        max_count: int,
         now: float,
         rng: random.Random,
         *,
         with_held: bool = True,
     ) -> tuple[AdvertisedCrashes, ...]:
-        """What to tell others: some changes, and a few of what is held.
+        """Return what to advertise: recent changes, and some held requests.
 
-        Changes that were told least lately come first, so that an answer is
-        told as often as the crashes before it.  Instances that have just
-        started know of none that are held.
+        Changes that were advertised least recently come first, so that an
+        answer is advertised as often as the crashes before it.  Held requests
+        are advertised for instances that have just started and know none.
         """
         if not self.records:
             return ()
@@ -202,53 +204,53 @@
         fresh = [
             key
             for key, record in self.records.items()
-            if now - record.changed_at < _TOLD_FOR
+            if now - record.changed_at < _ADVERTISED_FOR
         ]
-        fresh.sort(key=self._told_order)
+        fresh.sort(key=self._advertise_order)
         held = [
             key
             for key, record in self.records.items()
             if with_held and record.held and key not in fresh
         ]
-        chosen = fresh[: most - bool(held)]
-        room = min(len(held), _HELD_TOLD, most - len(chosen))
+        chosen = fresh[: max_count - bool(held)]
+        room = min(len(held), _MAX_HELD_ADVERTISED, max_count - len(chosen))
         chosen += rng.sample(held, room)
-        return tuple(self._told(key, now) for key in chosen)
+        return tuple(self._advertised(key, now) for key in chosen)
 
     def count_held(self, now: float) -> int:
-        """How many requests are held."""
+        """Return the number of held requests."""
         return sum(bool(self.hold_time(key, now)) for key in list(self.records))
 
-    def _take_crashes(
+    def _merge_crashes(
         self,
         record: _Record | None,
-        told: AdvertisedCrashes,
+        advertised: AdvertisedCrashes,
         at: float,
         now: float,
     ) -> bool:
-        self._note_broken(told.upstream, at)
+        self._record_upstream_crash(advertised.upstream, at)
         if record is None:
-            record = self._add(told.fingerprint)
-        if at <= record.answered_at + _AGE_ERROR:
-            # Who tells this has not heard of the answer.
+            record = self._add(advertised.fingerprint)
+        if at <= record.answered_at + _AGE_TOLERANCE:
+            # The sender does not know of the answer yet.
             record.changed_at = now
             return False
-        record.upstreams.add(told.upstream)
-        if told.count <= record.count:
-            # The same crash, told again: its age has grown on the way.
+        record.upstreams.add(advertised.upstream)
+        if advertised.count <= record.count:
+            # A known crash, advertised again: its age has grown in transit.
             return False
         was_held = record.held
-        record.count = told.count
-        record.last_upstream = told.upstream
+        record.count = advertised.count
+        record.last_upstream = advertised.upstream
         record.crashed_at = at
         record.changed_at = now
         return record.held and not was_held
 
-    def _note_broken(self, upstream: int, at: float) -> None:
-        last = self.broken.pop(upstream, -inf)
-        self.broken[upstream] = max(last, at)
-        if len(self.broken) > _MOST_BROKEN:
-            self.broken.pop(next(iter(self.broken)))
+    def _record_upstream_crash(self, upstream: int, at: float) -> None:
+        last = self.last_crashes.pop(upstream, -inf)
+        self.last_crashes[upstream] = max(last, at)
+        if len(self.last_crashes) > _MAX_CRASHED_UPSTREAMS:
+            self.last_crashes.pop(next(iter(self.last_crashes)))
 
     def _record(self, request: Fingerprint, now: float) -> _Record | None:
         record = self.records.get(request)
@@ -258,8 +260,8 @@
         return record
 
     def _add(self, request: Fingerprint) -> _Record:
-        if len(self.records) >= _MOST_RECORDS:
-            self.records.pop(min(self.records, key=self._rank))
+        if len(self.records) >= _MAX_RECORDS:
+            self.records.pop(min(self.records, key=self._eviction_rank))
         record = _Record()
         self.records[request] = record
         return record
@@ -271,21 +273,23 @@
         for key in stale:
             self.records.pop(key)
 
-    def _rank(self, request: Fingerprint) -> tuple[int, float]:
+    def _eviction_rank(self, request: Fingerprint) -> tuple[int, float]:
         record = self.records[request]
         return record.count, record.changed_at
 
-    def _told_order(self, request: Fingerprint) -> tuple[float, int]:
+    def _advertise_order(self, request: Fingerprint) -> tuple[float, int]:
         record = self.records[request]
-        return record.told_at, -record.count
+        return record.advertised_at, -record.count
 
-    def _told(self, request: Fingerprint, now: float) -> AdvertisedCrashes:
+    def _advertised(
+        self, request: Fingerprint, now: float
+    ) -> AdvertisedCrashes:
         record = self.records[request]
         at = record.crashed_at if record.count else record.answered_at
-        record.told_at = now
+        record.advertised_at = now
         return AdvertisedCrashes(
             request,
             record.count,
-            round((now - at) * _AGES_PER_S),
+            round((now - at) * _AGE_STEPS_PER_SECOND),
             record.last_upstream,
         )
