--- a/tests/budgets/test_giving_way.py
+++ b/tests/budgets/test_giving_way.py
@@ -1,4 +1,4 @@
-"""What an instance tells after it has had to give way."""
+"""Tests of budgets that are overcommitted because requests became fewer."""
 
 from typing import Final
 
@@ -13,20 +13,20 @@
 _ALONE: Final = PeerView(BudgetUse())
 
 
-def test_what_was_sent_stays_told_though_requests_become_fewer() -> None:
+def test_sent_retries_stay_reserved_when_requests_fall() -> None:
     bounds = BudgetBounds(ratio=0.2, window=_WINDOW, extra=0)
     budget = SharedBudget.from_bounds(bounds, seed=1)
     for tenth in range(10 * _WINDOW):
         budget.record_request(tenth / 10)
     sent = sum(budget.spend(_WINDOW, _ALONE) for _ in range(10 * _WINDOW))
     assert sent
-    # Most requests have left the window by now, the repeats have not.
+    # Most requests have left the window by now, but not the retries.
     later = 1.8 * _WINDOW
     budget.maintain(later, _ALONE)
     assert budget.use(later).reserved >= sent
 
 
-def test_nobody_sends_while_more_is_reserved_than_is_allowed() -> None:
+def test_no_retry_is_sent_while_overcommitted() -> None:
     bounds = BudgetBounds(ratio=0.2, window=_WINDOW, extra=0)
     budget = SharedBudget.from_bounds(bounds, seed=1)
     for tenth in range(10 * _WINDOW):
@@ -34,7 +34,7 @@
     budget.maintain(_WINDOW, _ALONE)
     assert budget.spend(_WINDOW, _ALONE)
     budget.give_back(_WINDOW)
-    others = PeerView(BudgetUse(reserved=100), instances=2)
-    budget.maintain(_WINDOW + 0.1, others)
+    peers = PeerView(BudgetUse(reserved=100), instances=2)
+    budget.maintain(_WINDOW + 0.1, peers)
     assert budget.available(_WINDOW + 0.1)
-    assert not budget.spend(_WINDOW + 0.1, others)
+    assert not budget.spend(_WINDOW + 0.1, peers)
--- a/tests/budgets/test_parts.py
+++ b/tests/budgets/test_parts.py
@@ -1,4 +1,4 @@
-"""The part of a budget that an instance keeps before anybody wants it."""
+"""Tests of the fair share that an instance reserves in advance."""
 
 from typing import Final
 
@@ -18,83 +18,83 @@
 _TICK: Final = 0.1
 _RATE: Final = 50
 _BOUNDS: Final = BudgetBounds(ratio=0.2, window=_WINDOW, extra=0)
-# What the own half of all requests allows, and how much of it is kept.
+# Retries that half of all requests allow, and the minimum share kept reserved.
 _HALF: Final = 0.2 * _RATE * _WINDOW
 _KEPT: Final = 0.8
-# Another instance with as many requests.
+# A peer with the same number of requests.
 _PARTS: Final = (round(_RATE * _WINDOW / 8),) * 12
-_QUIET: Final = BudgetUse(_PARTS, load=_RATE)
-_TWO: Final = PeerView(_QUIET, instances=2)
-_WANTING: Final = PeerView(
+_QUIET_USE: Final = BudgetUse(_PARTS, load=_RATE)
+_QUIET_PEER: Final = PeerView(_QUIET_USE, instances=2)
+_CONSTRAINED_PEER: Final = PeerView(
     BudgetUse(_PARTS, load=_RATE, constrained_load=_RATE), 2
 )
 
 
-def _tend(
+def _maintain(
     budget: SharedBudget,
     begin: float,
     end: float,
-    others: PeerView = _TWO,
+    peers: PeerView = _QUIET_PEER,
     rate: int = _RATE,
 ) -> float:
-    """Let requests come at an even rate; tells the time."""
+    """Generate requests at a steady rate; return the end."""
     for tick in range(round(begin / _TICK), round(end / _TICK)):
         for _ in range(round(rate * _TICK)):
             budget.record_request(tick * _TICK)
-        budget.maintain(tick * _TICK, others)
+        budget.maintain(tick * _TICK, peers)
     return end
 
 
 def _settled() -> tuple[SharedBudget, float]:
     budget = SharedBudget.from_bounds(_BOUNDS, seed=1)
-    return budget, _tend(budget, 0, 2 * _WINDOW)
+    return budget, _maintain(budget, 0, 2 * _WINDOW)
 
 
-def test_part_is_reserved_before_anybody_wants_it() -> None:
+def test_share_is_reserved_before_retries_are_needed() -> None:
     budget, now = _settled()
     assert _KEPT * _HALF <= budget.reserved <= _HALF
     assert budget.use(now).reserved == budget.reserved
     assert not budget.use(now).constrained_load
 
 
-def test_nothing_is_reserved_while_it_is_unknown_who_uses_the_budget() -> None:
+def test_nothing_is_reserved_while_users_are_unknown() -> None:
     budget = SharedBudget.from_bounds(_BOUNDS, seed=1)
-    unknown = PeerView(_QUIET, instances=2, complete=False)
-    _tend(budget, 0, 2 * _WINDOW, unknown)
+    unknown = PeerView(_QUIET_USE, instances=2, complete=False)
+    _maintain(budget, 0, 2 * _WINDOW, unknown)
     assert not budget.reserved
 
 
-def test_part_goes_back_as_load_moves_away() -> None:
+def test_share_is_released_when_load_moves_away() -> None:
     budget, now = _settled()
-    _tend(budget, now, now + _WINDOW, rate=0)
+    _maintain(budget, now, now + _WINDOW, rate=0)
     assert not budget.reserved
 
 
-def test_part_is_lent_while_others_want_it_and_called_back() -> None:
+def test_share_is_lent_to_constrained_peers_and_reclaimed() -> None:
     budget, now = _settled()
-    now = _tend(budget, now, now + 1, _WANTING)
+    now = _maintain(budget, now, now + 1, _CONSTRAINED_PEER)
     assert not budget.reserved
-    now = _tend(budget, now, now + 6)
+    now = _maintain(budget, now, now + 6)
     assert budget.reserved >= _KEPT * _HALF
 
 
-def test_part_is_not_lent_while_it_is_wanted_here() -> None:
+def test_share_is_not_lent_while_needed() -> None:
     budget, now = _settled()
-    assert budget.spend(now, _WANTING)
-    _tend(budget, now, now + 0.9, _WANTING)
+    assert budget.spend(now, _CONSTRAINED_PEER)
+    _maintain(budget, now, now + 0.9, _CONSTRAINED_PEER)
     assert budget.reserved >= _KEPT * _HALF
 
 
-def test_parts_of_two_are_within_what_is_allowed() -> None:
-    others = PeerView(
+def test_shares_of_two_stay_within_budget() -> None:
+    peers = PeerView(
         BudgetUse(_PARTS, reserved=1.5 * _HALF, load=_RATE), instances=2
     )
     budget = SharedBudget.from_bounds(_BOUNDS, seed=1)
-    _tend(budget, 0, 2 * _WINDOW, others)
+    _maintain(budget, 0, 2 * _WINDOW, peers)
     assert budget.reserved <= _HALF / 2
 
 
-def test_life_that_ends_keeps_its_part_in_the_sum() -> None:
+def test_ended_incarnation_keeps_its_reservation_in_the_sum() -> None:
     one = SharedBudgets.begin(_BOUNDS, known_since=-_WINDOW)
     other = SharedBudgets.begin(_BOUNDS, known_since=-_WINDOW)
     for budgets in (one, other):
@@ -116,14 +116,14 @@
     assert not other.peer_view('orders', after).use.reserved
 
 
-def test_more_goes_to_one_whose_wish_all_others_know() -> None:
-    free = PeerView(_QUIET, instances=2)
+def test_known_shortage_gets_a_larger_share() -> None:
+    free = PeerView(_QUIET_USE, instances=2)
     budget, now = _settled()
     budget.reserved = 0
     shares = []
-    for wished in (0.5, 1.5):
+    for elapsed in (0.5, 1.5):
         budget.constrained_at = now
-        budget.constrained_since = now - wished
+        budget.constrained_since = now - elapsed
         budget.reserved_in_round.parts.clear()
         budget.reserved_in_round.sum = 0
         budget.reserved = 0
@@ -135,17 +135,17 @@
     assert shares[1] > 1.5 * shares[0]
 
 
-def test_requests_that_move_here_are_not_counted_twice() -> None:
+def test_requests_that_move_are_not_counted_twice() -> None:
     budget, now = _settled()
     moved = PeerView(BudgetUse(_PARTS, load=0), instances=2)
     late = 0.2 * _RATE * 0.45
-    change = budget.unreserved(now, _TWO) - budget.unreserved(now, moved)
+    change = budget.unreserved(now, _QUIET_PEER) - budget.unreserved(now, moved)
     assert change == pytest.approx(late, rel=0.1)
 
 
-# Requests by part of the window, the latest first, repeats that were sent in
-# these, repeats that are reserved beside them, and the requests that allow them.
-_SPANS: Final = (
+# Requests and sent retries by part of the window, the latest first, unsent
+# reservations, and the requests that remain for further retries.
+_OPEN_WINDOWS: Final = (
     pytest.param((10,) * 12, (), 0, 70, id='level'),
     pytest.param((10,) * 6, (), 0, 50, id='load-began'),
     pytest.param((50, 0, 0, 0, 0, 0, 0, 50), (), 0, 50, id='both-ends'),
@@ -154,10 +154,10 @@
 )
 
 
-@pytest.mark.parametrize(('came', 'sent', 'unsent', 'left'), _SPANS)
-def test_no_window_that_goes_on_can_have_more_than_is_allowed(
-    came: tuple[int, ...], sent: tuple[int, ...], unsent: int, left: int
+@pytest.mark.parametrize(('arrived', 'sent', 'unsent', 'left'), _OPEN_WINDOWS)
+def test_no_open_window_exceeds_what_is_allowed(
+    arrived: tuple[int, ...], sent: tuple[int, ...], unsent: int, left: int
 ) -> None:
-    use = BudgetUse(came, unsent + sum(sent), sent=sent)
-    spans = [requests - repeats for requests, repeats in use.open_windows()]
-    assert min(spans) == left
+    use = BudgetUse(arrived, unsent + sum(sent), sent=sent)
+    windows = [requests - retries for requests, retries in use.open_windows()]
+    assert min(windows) == left
--- a/tests/limits/staggered.py
+++ b/tests/limits/staggered.py
@@ -1,4 +1,4 @@
-"""Entries that learn at different times which of them live."""
+"""Quotas over entries that learn at different times which of them are live."""
 
 from dataclasses import dataclass, field
 from functools import partial
@@ -9,31 +9,31 @@
 from worksrail.bench.limits._ways import OwnedQuotas
 from worksrail.core.limits import Members
 
-# Seconds after which an entry hears of its own zone, and of another one.
+# Maximum seconds until an entry learns of its own zone, and of another one.
 _NEAR: Final = 0.2
 _FAR: Final = 0.6
 
 
 @dataclass(slots=True)
 class StaggeredQuotas(OwnedQuotas):
-    """Owned quotas whose entries hear of each zone at a time of their own.
+    """Owned quotas whose entries learn of each zone after individual delays.
 
-    An entry that has just started knows itself only.
+    An entry that has just started knows only itself.
     """
 
     views: dict[int, set[int]] = field(default_factory=dict)
-    """Entries that each entry takes to be alive."""
+    """Entries that each entry considers live."""
 
     known: dict[int, set[int]] = field(default_factory=dict)
-    """Entries that each entry has heard of."""
+    """Entries that each entry knows."""
 
     @classmethod
     def of(cls, network: Network) -> 'StaggeredQuotas':
-        """Entries of a network, none of which has been told anything."""
+        """Create the entries of a network; none knows any other."""
         return cls(network)
 
     def join(self, alive: frozenset[int]) -> None:
-        """Tell each entry of each zone, after a while."""
+        """Let each entry learn of each zone, after a random delay."""
         if not self.views:
             fleet = range(self.network.entries)
             self.views = {entry: set(alive) for entry in fleet}
@@ -44,15 +44,17 @@
             for zone in range(ZONES):
                 own = zone == entry % ZONES
                 delay = self.network.rng.uniform(0, _NEAR if own else _FAR)
-                self.network.after(delay, partial(self._hear, entry, zone))
+                self.network.after(
+                    delay, partial(self._update_view, entry, zone)
+                )
 
     def restart(self, entry: int) -> None:
-        """An entry begins anew and knows itself only."""
+        """Restart an entry, which then knows only itself."""
         OwnedQuotas.restart(self, entry)
         self.views[entry] = {entry}
         self.known[entry] = {entry}
 
-    def _hear(self, entry: int, zone: int) -> None:
+    def _update_view(self, entry: int, zone: int) -> None:
         away = self.network.away
         if entry in away:
             return
--- a/tests/limits/test_faults_are_noticed.py
+++ b/tests/limits/test_faults_are_noticed.py
@@ -1,8 +1,8 @@
-"""Checks the checkers: each deliberate fault must break a quota, or refuse.
+"""Mutation tests: each deliberate fault must break a quota or refuse requests.
 
-A row names a small fault in the code of shared limits and the play that has to
-notice it.  A row that passes unnoticed means that the mechanism is not needed,
-or that nothing checks it.
+A row names a small fault in the code of shared limits and the simulation that
+must detect it.  An undetected fault means that the mechanism is not needed or
+that no test checks it.
 """
 
 from collections.abc import Callable
@@ -59,12 +59,12 @@
 
 
 _BREAK: dict[str, tuple[Patch, tuple[Fault, ...]]] = {
-    'an owner that never runs short': (
+    'an owner that always grants': (
         _set(OwnedLimit, 'serve', _always_ample),
         (),
     ),
     'entries that report nothing': (_set(SharedLimits, 'tick', _nothing), ()),
-    'entries that never take a shortage for one': (
+    'entries that ignore the status of a limit': (
         _set(Account, 'apply_status', _nothing),
         (),
     ),
@@ -72,7 +72,7 @@
         _set(Members, 'trusted', True),
         _CUT,
     ),
-    'owners that begin with what would be there after a minute': (
+    'owners that begin with the tokens of a minute': (
         _set(_owner, '_INITIAL_SECONDS', 60.0),
         (Fault(4, FaultKind.KILL, 0.6), Fault(5.3, FaultKind.KILL, 0.6)),
     ),
@@ -100,7 +100,7 @@
         _KILLED,
         10,
     ),
-    'an allowance that does not know the usual use': (
+    'an allowance that ignores recent use': (
         _set(_accounts, '_ALLOWANCE_FACTOR', 0.0),
         _LATE_CUT,
         18,
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize('fault', _REFUSE)
-def test_fault_refuses_what_is_owed(
+def test_fault_refuses_requests_within_quota(
     fault: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     patch, faults, seconds = _REFUSE[fault]
--- a/tests/limits/test_quotas_over_a_fleet.py
+++ b/tests/limits/test_quotas_over_a_fleet.py
@@ -1,4 +1,4 @@
-"""Quotas over whole fleets on a virtual clock, with faults."""
+"""Simulates quotas over whole fleets on a virtual clock, with faults."""
 
 from dataclasses import replace
 
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize(
-    ('entries', 'fault', 'hot', 'most'),
+    ('entries', 'fault', 'hot', 'max_refused'),
     [
         (9, 'none', False, 0.002),
         (45, 'none', False, 0.002),
@@ -61,11 +61,11 @@
         (45, '60 in 100 killed', True, 0.01),
     ],
 )
-def test_hardly_anything_owed_is_refused(
-    entries: int, fault: str, hot: bool, most: float
+def test_few_requests_within_quota_are_refused(
+    entries: int, fault: str, hot: bool, max_refused: float
 ) -> None:
     plan = _plan(entries, fault, hot=hot)
-    assert _owned(plan).inside <= most
+    assert _owned(plan).inside <= max_refused
 
 
 @pytest.mark.parametrize('share', [0.6, 1])
@@ -83,14 +83,15 @@
 
 
 def test_equal_shares_refuse_small_customers() -> None:
-    # What speaks for one owner: the same callers, nothing wrong.
+    # The reason for a single owner: without any fault, equal shares refuse far
+    # more of the same callers' requests.
     plan = _plan(45, 'none', hot=False)
     equal = play(plan, WAYS['equal shares'])
     assert equal.inside > 0.1 > 20 * _owned(plan).inside
 
 
 @pytest.mark.parametrize('loss', [0.03, 0.2])
-def test_lost_datagrams_do_not_break_a_quota(loss: float) -> None:
+def test_quota_holds_despite_lost_datagrams(loss: float) -> None:
     plan = replace(_plan(9, 'none'), loss=loss)
     assert _owned(plan).worst <= 1
 
--- a/tests/limits/test_shared_limits.py
+++ b/tests/limits/test_shared_limits.py
@@ -1,4 +1,4 @@
-"""One entry's side of shared limits, and the owner's."""
+"""Tests of shared limits at one entry, as their user and as their owner."""
 
 from collections.abc import Iterable
 
@@ -22,8 +22,8 @@
 from worksrail.core.membership import rendezvous
 
 _LIMIT = SharedLimit(rate=10, capacity=20)
-_PLENTY = LimitStatus(granted=0, ample=True, wait=0)
-_SHORT = LimitStatus(granted=0, ample=False, wait=0)
+_AMPLE_STATUS = LimitStatus(granted=0, ample=True, wait=0)
+_SHORT_STATUS = LimitStatus(granted=0, ample=False, wait=0)
 
 
 def _owner_among(names: Iterable[str]) -> str:
@@ -35,7 +35,7 @@
     others: Iterable[str] = ('b', 'c', 'd'),
     silent: int = 0,
 ) -> SharedLimits:
-    """An entry that knows the others and one limit, ``q``."""
+    """Create an entry that knows the others and one limit, ``q``."""
     limits = SharedLimits.begin(Incarnation(name, 1), f'{name}:1', 0)
     limits.follow({'q': _LIMIT}, 0)
     peers = {one: f'{one}:1' for one in {name, *others}}
@@ -44,15 +44,15 @@
     return limits
 
 
-def _stranger(names: str = 'abcd') -> SharedLimits:
-    """An entry that does not own the limit."""
+def _non_owner(names: str = 'abcd') -> SharedLimits:
+    """Create an entry that does not own the limit."""
     owner = _owner_among(names)
     name = next(one for one in names if one != owner)
     return _entry(name, set(names) - {name})
 
 
 def _owner(names: str = 'abcd') -> SharedLimits:
-    """The entry that owns it."""
+    """Create the entry that owns the limit."""
     owner = _owner_among(names)
     return _entry(owner, set(names) - {owner})
 
@@ -73,24 +73,26 @@
     ('wanted', 'now', 'taken'),
     [(1, 0, 1), (9, 0, 4), (9, 0.5, 5), (9, 60, 6)],
 )
-def test_bucket_gives_whole_tokens(wanted: int, now: float, taken: int) -> None:
+def test_bucket_grants_whole_tokens(
+    wanted: int, now: float, taken: int
+) -> None:
     bucket = TokenBucket(rate=2, capacity=6, level=4, filled_at=0)
     assert bucket.take(wanted, now) == taken
 
 
-def test_bucket_that_is_overdrawn_fills_first() -> None:
+def test_overdrawn_bucket_refills_first() -> None:
     bucket = TokenBucket(rate=2, capacity=6, level=1, filled_at=0)
     bucket.spend(5, 0)
     assert bucket.take(1, 2) == 0
     assert bucket.next_token_in(2) == pytest.approx(0.5)
 
 
-def test_what_has_no_limit_is_admitted() -> None:
-    assert _stranger().admit('other', 1, 0).admission is Admission.ADMITTED
+def test_request_without_limit_is_admitted() -> None:
+    assert _non_owner().admit('other', 1, 0).admission is Admission.ADMITTED
 
 
-def test_plenty_is_admitted_at_once_and_reported() -> None:
-    limits = _stranger()
+def test_ample_limit_admits_at_once_and_reports() -> None:
+    limits = _non_owner()
     for ticket in range(3):
         verdict = limits.admit('q', ticket, 0)
         assert verdict.admission is Admission.ADMITTED
@@ -101,12 +103,12 @@
     assert sent.peer == f'{_owner_among("abcd")}:1'
 
 
-def test_what_was_not_used_is_given_back() -> None:
-    limits = _stranger()
+def test_unused_admission_is_returned() -> None:
+    limits = _non_owner()
     limits.admit('q', 1, 0)
     limits.tick(0.1)
     _messages(limits)
-    limits.receive(LimitReply(1, {'q': _PLENTY}), 0.2)
+    limits.receive(LimitReply(1, {'q': _AMPLE_STATUS}), 0.2)
     limits.give_back('q')
     limits.tick(0.3)
     (sent,) = _messages(limits)
@@ -115,9 +117,9 @@
 
 
 def _asking() -> tuple[SharedLimits, LimitReport]:
-    """An entry that was told of a shortage and asks for one request."""
-    limits = _stranger()
-    limits.receive(LimitReply(0, {'q': _SHORT}), 0)
+    """Create an entry that knows of a shortage and asks for one request."""
+    limits = _non_owner()
+    limits.receive(LimitReply(0, {'q': _SHORT_STATUS}), 0)
     assert limits.admit('q', 7, 0).admission is Admission.WAITING
     (sent,) = _messages(limits)
     assert isinstance(sent.message, LimitReport)
@@ -129,7 +131,7 @@
     ('granted', 'wait', 'admission'),
     [(1, 0, Admission.ADMITTED), (0, 0.7, Admission.DENIED)],
 )
-def test_short_limit_is_asked_for(
+def test_owner_of_short_limit_is_asked(
     granted: int, wait: float, admission: Admission
 ) -> None:
     limits, report = _asking()
@@ -138,7 +140,7 @@
     assert _verdicts(limits) == {7: Verdict(admission, wait)}
 
 
-def test_denied_limit_is_not_asked_for_with_every_request() -> None:
+def test_owner_is_not_asked_again_right_after_denial() -> None:
     limits, report = _asking()
     standing = LimitStatus(0, ample=False, wait=0.7)
     limits.receive(LimitReply(report.number, {'q': standing}), 0.1)
@@ -150,7 +152,7 @@
     assert limits.admit('q', 9, 0.5).admission is Admission.WAITING
 
 
-def test_silent_owner_leaves_a_small_allowance() -> None:
+def test_silent_owner_leaves_small_allowance() -> None:
     limits, _ = _asking()
     limits.tick(0.4)
     assert _verdicts(limits)[7].admission is Admission.ADMITTED
@@ -159,22 +161,22 @@
         is Admission.ADMITTED
         for ticket in range(100)
     )
-    # An equal part of 0.6 of the limit among four entries is 1.5 a second.
+    # An equal part of 0.6 of the limit among four entries is 1.5 per second.
     assert 1 <= admitted <= 3
 
 
-def test_owner_that_answers_again_is_trusted_again() -> None:
+def test_owner_that_replies_again_ends_allowance() -> None:
     limits, report = _asking()
     limits.tick(0.4)
-    limits.receive(LimitReply(report.number, {'q': _PLENTY}), 0.5)
-    # Half of the bucket without asking, and no more in one instant.
+    limits.receive(LimitReply(report.number, {'q': _AMPLE_STATUS}), 0.5)
+    # At most half of the bucket may be admitted at once without asking.
     for ticket in range(10):
         verdict = limits.admit('q', ticket, 0.5)
         assert verdict.admission is Admission.ADMITTED
     assert limits.admit('q', 10, 0.5).admission is Admission.WAITING
 
 
-def test_entry_that_hears_too_few_does_not_own() -> None:
+def test_entry_that_reaches_too_few_owns_nothing() -> None:
     limits = _entry('a', (), silent=9)
     verdicts = [limits.admit('q', ticket, 0) for ticket in range(20)]
     admitted = [one for one in verdicts if one.admission is Admission.ADMITTED]
@@ -182,7 +184,7 @@
     assert all(one.wait > 0 for one in verdicts if one not in admitted)
 
 
-def test_owner_leaves_a_part_to_entries_it_cannot_hear() -> None:
+def test_owner_reserves_rate_for_unreachable_entries() -> None:
     whole, partly = _entry('a', ()), _entry('a', 'bc', silent=3)
     whole.admit('q', 1, 0)
     assert whole.owned.limits['q'].bucket.rate == 10
@@ -190,20 +192,20 @@
     assert partly.owned.limits['q'].bucket.rate == pytest.approx(7)
 
 
-def test_owner_grants_its_own_requests_what_is_left() -> None:
+def test_owner_admits_its_own_requests() -> None:
     limits = _entry('a', ())
     verdicts = [limits.admit('q', ticket, 100) for ticket in range(25)]
     admitted = [one for one in verdicts if one.admission is Admission.ADMITTED]
     assert len(admitted) == 20
 
 
-def test_denied_callers_are_told_one_after_the_other() -> None:
+def test_denied_callers_get_increasing_delays() -> None:
     limits = _entry('a', ())
     waits = [limits.admit('q', ticket, 100).wait for ticket in range(25)]
     assert [round(wait, 2) for wait in waits[20:]] == [0.1, 0.2, 0.3, 0.4, 0.5]
 
 
-def _ask_of(owner: SharedLimits, name: str, *, forwarded: bool) -> None:
+def _report_to(owner: SharedLimits, name: str, *, forwarded: bool) -> None:
     report = LimitReport(
         Incarnation('z', 1), 'z:1', 5, {name: 2}, {name: 1}, forwarded
     )
@@ -212,7 +214,7 @@
 
 def test_owner_answers_a_report() -> None:
     owner = _owner()
-    _ask_of(owner, 'q', forwarded=False)
+    _report_to(owner, 'q', forwarded=False)
     (sent,) = _messages(owner)
     assert sent.peer == 'z:1'
     assert sent.message == LimitReply(
@@ -221,29 +223,29 @@
     assert owner.owned.limits['q'].bucket.level == pytest.approx(17)
 
 
-def test_report_to_another_entry_reaches_the_owner_once() -> None:
-    other = _stranger()
-    _ask_of(other, 'q', forwarded=False)
+def test_report_is_forwarded_to_owner_once() -> None:
+    other = _non_owner()
+    _report_to(other, 'q', forwarded=False)
     (sent,) = _messages(other)
     assert sent.peer == f'{_owner_among("abcd")}:1'
     assert isinstance(sent.message, LimitReport)
     assert sent.message.forwarded
     assert sent.message.peer == 'z:1'
-    _ask_of(other, 'q', forwarded=True)
+    _report_to(other, 'q', forwarded=True)
     (answered,) = _messages(other)
     assert isinstance(answered.message, LimitReply)
 
 
-def test_limit_that_the_owner_does_not_know_yet_is_ample() -> None:
+def test_limit_unknown_to_owner_is_ample() -> None:
     owner = _owner()
-    _ask_of(owner, 'new', forwarded=True)
+    _report_to(owner, 'new', forwarded=True)
     (sent,) = _messages(owner)
     assert sent.message == LimitReply(
         5, {'new': LimitStatus(granted=1, ample=True, wait=0)}
     )
 
 
-def test_limit_moves_to_its_new_owner_with_what_is_left() -> None:
+def test_limit_moves_to_new_owner_with_its_tokens() -> None:
     owner = _owner('ab')
     owner.admit('q', 1, 0)
     level = owner.owned.limits['q'].bucket.level
@@ -260,29 +262,29 @@
     assert successor.owned.limits['q'].bucket.level == level
 
 
-def test_owner_without_a_word_of_its_predecessor_begins_low() -> None:
+def test_owner_without_handover_begins_low() -> None:
     limits = _entry('a', ())
     limits.update_members(Members({'a': 'a:1', 'e': 'e:1'}, 2), 50)
     limits.owned.serve('q', _LIMIT, 0, 0, since=50, now=50)
     assert limits.owned.limits['q'].bucket.level == pytest.approx(5)
 
 
-def test_entry_that_is_wrongly_taken_for_the_owner_begins_low() -> None:
-    other = _stranger()
-    _ask_of(other, 'q', forwarded=True)
+def test_entry_wrongly_considered_owner_begins_low() -> None:
+    other = _non_owner()
+    _report_to(other, 'q', forwarded=True)
     level = other.owned.limits['q'].bucket.level
     assert level == pytest.approx(5 - 3)
 
 
-def test_owner_that_stood_still_knows_nothing_any_more() -> None:
+def test_suspended_owner_drops_its_limits() -> None:
     owner = _owner()
     owner.admit('q', 1, 100)
     owner.handle_pause(200)
     assert not owner.owned.limits
 
 
-def test_fresh_owner_begins_low() -> None:
-    # It cannot know what was given out before it began.
+def test_started_owner_begins_low() -> None:
+    # It cannot know what was granted before it started.
     limits = SharedLimits.begin(Incarnation('s', 1), 's:1', 900, ('s:1',))
     limits.follow({'q': _LIMIT}, 900)
     verdicts = [limits.admit('q', ticket, 900) for ticket in range(9)]
@@ -290,7 +292,7 @@
     assert len(admitted) == 5
 
 
-def test_lowered_limit_binds_at_once() -> None:
+def test_lowered_limit_applies_at_once() -> None:
     limits = _entry('a', ())
     assert limits.admit('q', 1, 100).admission is Admission.ADMITTED
     limits.follow({'q': SharedLimit(rate=1, capacity=2)}, 100)
@@ -299,7 +301,7 @@
     assert len(admitted) == 2
 
 
-def test_limit_that_is_gone_binds_nobody() -> None:
+def test_removed_limit_is_dropped() -> None:
     limits = _entry('a', ())
     limits.admit('q', 1, 100)
     limits.follow({}, 100)
@@ -307,8 +309,8 @@
     assert not limits.accounts
 
 
-def _fresh() -> tuple[SharedLimits, LimitReport]:
-    """An entry that knows only a seed, and has asked it."""
+def _started_entry() -> tuple[SharedLimits, LimitReport]:
+    """Create an entry that knows only its seeds, and has asked one."""
     limits = SharedLimits.begin(Incarnation('a', 1), 'a:1', 0, ('s:1', 't:1'))
     limits.follow({'q': _LIMIT}, 0)
     assert limits.admit('q', 1, 0).admission is Admission.WAITING
@@ -318,22 +320,22 @@
     return limits, sent.message
 
 
-def test_fresh_entry_asks_a_seed() -> None:
-    limits, report = _fresh()
+def test_started_entry_asks_a_seed() -> None:
+    limits, report = _started_entry()
     standing = LimitStatus(1, ample=True, wait=0)
     limits.receive(LimitReply(report.number, {'q': standing}), 0.1)
     assert _verdicts(limits)[1].admission is Admission.ADMITTED
 
 
-def test_fresh_entry_waits_for_others_if_no_seed_answers() -> None:
-    limits, _ = _fresh()
+def test_started_entry_waits_for_members_without_seed_reply() -> None:
+    limits, _ = _started_entry()
     limits.tick(0.4)
     assert not limits.take_outputs()
     limits.update_members(Members({'a': 'a:1'}, 1), 0.5)
     assert _verdicts(limits)[1].admission is Admission.ADMITTED
 
 
-def test_seed_that_is_fresh_itself_begins() -> None:
+def test_seed_that_just_started_admits() -> None:
     limits = SharedLimits.begin(Incarnation('s', 1), 's:1', 0, ('s:1',))
     limits.follow({'q': _LIMIT}, 0)
     assert limits.admit('q', 1, 0).admission is Admission.ADMITTED
@@ -344,8 +346,8 @@
     )
 
 
-def test_owner_that_was_cut_off_owns_again() -> None:
-    # Its own allowance must not bind it when it hears the others again.
+def test_owner_that_was_cut_off_resumes() -> None:
+    # Its allowance must not limit it once it reaches the others again.
     owner = _owner_among('abcd')
     limits = _entry(owner, set('abcd') - {owner})
     limits.update_members(Members({owner: f'{owner}:1'}, 8), 100)
@@ -356,7 +358,7 @@
     assert {one.admission for one in verdicts} == {Admission.ADMITTED}
 
 
-def test_reply_of_a_limit_that_is_gone_settles_who_waited() -> None:
+def test_reply_on_removed_limit_admits_waiting_request() -> None:
     limits, report = _asking()
     limits.follow({}, 0.1)
     standing = LimitStatus(1, ample=True, wait=0)
--- a/tests/test_fingerprints.py
+++ b/tests/test_fingerprints.py
@@ -1,4 +1,4 @@
-"""What makes two arrivals the same request."""
+"""Tests which arrivals have the same fingerprint."""
 
 import asyncio
 import random
@@ -65,9 +65,7 @@
     assert (found[0] == found[1]) is same
 
 
-def test_entries_that_reach_the_store_differently_know_the_same_request() -> (
-    None
-):
+def test_fingerprint_does_not_depend_on_store_address() -> None:
     one, other = (
         World((route('read'),), (upstream('1'),), name=name)
         for name in ('one', 'two')
@@ -76,12 +74,12 @@
     assert _fingerprint(one) == _fingerprint(other)
 
 
-def test_parts_do_not_run_into_each_other() -> None:
+def test_parts_are_separated() -> None:
     one = fingerprint(b'', ('ab', 'c'), b'')
     assert one != fingerprint(b'', ('a', 'bc'), b'')
 
 
-def test_line_of_a_crash_names_the_request_and_nothing_of_its_content() -> None:
+def test_crash_log_line_contains_only_the_fingerprint() -> None:
     public = customer('ana', 'a-key')
     world = World((route('read'),), (upstream('1'),), customers=(public,))
     number = world.ask(key=_KEY, key_digest=public.keys[0])
@@ -101,8 +99,7 @@
     ]
 
 
-# Chunks of two bodies, their declared lengths, and whether they are known for
-# the same one.
+# Two bodies with their declared lengths, and whether their digests are equal.
 _LONG = REPLAY_LIMIT + 10
 _BODIES = (
     ((b'', ''), (b'', ''), True),
@@ -122,7 +119,7 @@
 
 
 def _digest(body: bytes, declared: str, seed: int) -> bytes:
-    """Digest when a body is handed over, fed in chunks of any size."""
+    """Return the digest of a body that is fed in chunks of random sizes."""
 
     async def feed() -> bytes:
         rng = random.Random(seed)
@@ -143,7 +140,7 @@
 
 @pytest.mark.parametrize(('one', 'other', 'same'), _BODIES)
 @pytest.mark.parametrize('seed', [1, 2])
-def test_bodies_are_known_again_whole_and_streamed(
+def test_body_digests_are_equal_whole_and_streamed(
     one: tuple[bytes, str],
     other: tuple[bytes, str],
     same: bool,
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -1,4 +1,4 @@
-"""Named limits: what is believed, told and issued, without a world."""
+"""Tests of limits that upstreams name, and of their tokens, without a world."""
 
 from math import inf
 
@@ -17,14 +17,14 @@
 )
 from worksrail.core.pacing._stock import TokenStock
 
-_TOLD_MOST = 32
+_MAX_ADVERTISED = 32
 
 
 def _named(rate: float | NoRate, at: float) -> NamedLimit:
     return NamedLimit(rate, at)
 
 
-# Answers in the order in which they come, rate that is believed after them.
+# Answers in the order of their arrival, and the rate observed after them.
 @pytest.mark.parametrize(
     ('answers', 'rate'),
     [
@@ -32,10 +32,10 @@
         ([_named(5, 1), _named(7, 2)], 7),
         ([_named(NoRate.NOT_NAMED, 1)], None),
         ([_named(5, 1), _named(NoRate.NOT_NAMED, 2)], None),
-        # The head of a long answer was read before.
+        # The head of a long answer was read earlier.
         ([_named(5, 2), _named(NoRate.NOT_NAMED, 1)], 5),
         ([_named(5, 2), _named(7, 1)], 5),
-        # Answers overtake each other by a little.
+        # Answers are slightly reordered.
         ([_named(5, 2), _named(NoRate.NOT_NAMED, 2.05)], 5),
         ([_named(5, 1), _named(NoRate.UNREADABLE, 2)], 5),
         ([_named(NoRate.UNREADABLE, 1)], None),
@@ -43,7 +43,7 @@
         ([_named(0, 1)], 0),
     ],
 )
-def test_limit_that_answers_name(
+def test_limit_named_by_answers(
     answers: list[NamedLimit],
     rate: float | None,
 ) -> None:
@@ -53,9 +53,9 @@
     assert limits.rate_of('u') == rate
 
 
-# What was heard at 10 s, what another instance tells then, rate believed.
+# Own observation at 10 s, what a peer advertises then, and the resulting rate.
 @pytest.mark.parametrize(
-    ('heard', 'told', 'rate'),
+    ('observed', 'advertised', 'rate'),
     [
         (None, AdvertisedLimit('u', 5, 0), 5),
         (None, AdvertisedLimit('u', None, 0), None),
@@ -63,53 +63,55 @@
         (_named(5, 8), AdvertisedLimit('u', None, 0), None),
         (_named(5, 10), AdvertisedLimit('u', 7, 20), 5),
         (_named(5, 10), AdvertisedLimit('u', None, 20), 5),
-        # About as old: the stricter one.
+        # About the same age: the stricter one counts.
         (_named(5, 10), AdvertisedLimit('u', 3, 1), 3),
         (_named(5, 10), AdvertisedLimit('u', 7, 1), 5),
         (_named(5, 10), AdvertisedLimit('u', None, 1), 5),
     ],
 )
-def test_newer_or_stricter_word_counts(
-    heard: NamedLimit | None,
-    told: AdvertisedLimit,
+def test_newer_or_stricter_observation_counts(
+    observed: NamedLimit | None,
+    advertised: AdvertisedLimit,
     rate: float | None,
 ) -> None:
     limits = NamedLimits()
-    if heard:
-        limits.note('u', heard)
-    limits.receive(told, 10)
+    if observed:
+        limits.note('u', observed)
+    limits.receive(advertised, 10)
     assert limits.rate_of('u') == rate
 
 
-def test_told_limit_does_not_grow_younger_between_two_instances() -> None:
+def test_age_does_not_shrink_between_two_instances() -> None:
     one, other = NamedLimits(), NamedLimits()
     one.note('u', _named(5, 0))
     now = 0.0
     for _ in range(200):
         now += 0.17
         for sender, receiver in ((one, other), (other, one)):
-            told = sender.snapshot('u', now)
-            assert told
-            receiver.receive(told, now + 0.04)
+            advertised = sender.snapshot('u', now)
+            assert advertised
+            receiver.receive(advertised, now + 0.04)
     one.note('u', _named(NoRate.NOT_NAMED, 1))
     assert one.rate_of('u') is None
 
 
 @pytest.mark.parametrize('ended', [False, True])
-def test_every_change_is_told_within_a_second(ended: bool) -> None:
+def test_every_change_is_advertised_within_a_second(ended: bool) -> None:
     limits = NamedLimits()
     names = [f'u{number}' for number in range(100)]
     for name in names:
         limits.note(name, _named(5, 1))
         if ended:
             limits.note(name, _named(NoRate.NOT_NAMED, 2))
-    told = [
+    advertised = [
         one
         for turn in range(5)
-        for one in limits.advertise(_TOLD_MOST, 2 + turn * 0.2, with_all=False)
+        for one in limits.advertise(
+            _MAX_ADVERTISED, 2 + turn * 0.2, with_all=False
+        )
     ]
-    assert {one.upstream for one in told} == set(names)
-    assert {one.rate for one in told} == {None if ended else 5}
+    assert {one.upstream for one in advertised} == set(names)
+    assert {one.rate for one in advertised} == {None if ended else 5}
 
 
 def test_limits_that_change_with_each_answer_keep_a_digest_small() -> None:
@@ -118,11 +120,13 @@
         for number in range(395):
             rate = 5 + (turn * 7 + number) % 20
             limits.note(f'u{number}', _named(rate, turn * 0.1))
-        told = limits.advertise(_TOLD_MOST, turn * 0.1, with_all=True)
-        assert len(told) == _TOLD_MOST
+        advertised = limits.advertise(
+            _MAX_ADVERTISED, turn * 0.1, with_all=True
+        )
+        assert len(advertised) == _MAX_ADVERTISED
 
 
-def test_endless_denials_are_survived() -> None:
+def test_backoff_is_bounded_after_many_denials() -> None:
     stock = TokenStock()
     for turn in range(5000):
         stock.apply_share(TokenShare(0, 2.0), float(turn))
@@ -142,7 +146,7 @@
     assert pacer.permission('u', 0) is Permission.GRANTED
 
 
-def test_rest_gives_no_more_than_a_burst() -> None:
+def test_idle_time_adds_at_most_a_burst() -> None:
     pacer = _pacer('one')
     pacer.limits.note('u', _named(5, 0))
     got = 0
@@ -154,9 +158,7 @@
     assert 0.9 * 50 <= got <= 50 + 3
 
 
-def test_instance_that_takes_another_one_for_the_issuer_issues_nothing() -> (
-    None
-):
+def test_instance_that_is_not_the_issuer_issues_nothing() -> None:
     pacer = _pacer('one', 'two')
     names = [f'u{number}' for number in range(20)]
     for name in names:
@@ -171,7 +173,7 @@
             assert not any(share.count for share in grant.shares.values())
 
 
-def test_grant_that_comes_too_late_is_not_used() -> None:
+def test_late_grant_is_ignored() -> None:
     pacer, other = _pacer('one', 'two'), _pacer('two', 'one')
     names = [f'u{number}' for number in range(20)]
     for name in names:
@@ -184,8 +186,8 @@
     assert not any(stock.tokens for stock in pacer.stocks.values())
 
 
-def _two_that_agree() -> tuple[Pacer, Pacer, str]:
-    """A user and an issuer of tokens, and an upstream of the latter."""
+def _user_and_issuer() -> tuple[Pacer, Pacer, str]:
+    """Return a user and an issuer of tokens, and an upstream of the issuer."""
     user, issuer = _pacer('one', 'two'), _pacer('two', 'one')
     names = [f'u{number}' for number in range(20)]
     for pacer in (user, issuer):
@@ -196,8 +198,8 @@
     return user, issuer, next(iter(issuer.issuer.owned))
 
 
-def _ask(user: Pacer, issuer: Pacer, now: float) -> int:
-    """One round between them; gives the tokens that are returned."""
+def _exchange(user: Pacer, issuer: Pacer, now: float) -> int:
+    """Exchange one round of messages; return the number of returned tokens."""
     returned = 0
     for addressed in user.make_requests(now):
         returned += sum(addressed.request.unused.values())
@@ -205,20 +207,20 @@
     return returned
 
 
-def test_tokens_that_nobody_uses_go_back_to_their_issuer() -> None:
-    user, issuer, upstream = _two_that_agree()
+def test_unused_tokens_are_returned_to_issuer() -> None:
+    user, issuer, upstream = _user_and_issuer()
     user.obtain(upstream, 60)
-    assert not _ask(user, issuer, 60)
+    assert not _exchange(user, issuer, 60)
     assert user.permission(upstream, 60.1) is Permission.GRANTED
-    assert not _ask(user, issuer, 60.1)
+    assert not _exchange(user, issuer, 60.1)
     level = issuer.issuer.owned[upstream].bucket.level
-    assert _ask(user, issuer, 60.4) == 1
+    assert _exchange(user, issuer, 60.4) == 1
     assert issuer.issuer.owned[upstream].bucket.level >= min(level + 1, 2)
     assert user.permission(upstream, 60.4) is not Permission.GRANTED
 
 
-def test_tokens_that_are_used_often_are_asked_for_in_advance() -> None:
-    user, issuer, upstream = _two_that_agree()
+def test_tokens_in_use_are_requested_in_advance() -> None:
+    user, issuer, upstream = _user_and_issuer()
     user.limits.note(upstream, _named(100, 51))
     issuer.limits.note(upstream, _named(100, 51))
     now = 60.0
@@ -226,5 +228,5 @@
         now += 0.02
         if user.obtain(upstream, now) is Permission.GRANTED:
             user.record_sent(upstream, now)
-        _ask(user, issuer, now)
+        _exchange(user, issuer, now)
     assert user.stocks[upstream].tokens > 1
