--- a/tests/budgets/fleet.py
+++ b/tests/budgets/fleet.py
@@ -23,8 +23,8 @@
 _DIGEST = 0.2
 _ZONE_DIGEST = 0.36
 _SETTLING = 0.5
-# Seconds that a digest takes within a zone, to the relay of another zone, and to
-# the instances behind that relay.
+# Seconds that a digest takes within a zone, to the relay of another zone, and
+# to the instances behind that relay.
 _ZONE_DELAY, _RELAY_DELAY, _FORWARDED_DELAY = 0.02, 0.07, 0.13
 # Seconds without a digest after which an instance is considered dead.
 _DEAD_AFTER = 1.8
@@ -118,7 +118,7 @@
         return max((self._share(begin), begin) for begin in begins)
 
     def max_use_when_denied(self) -> float:
-        """Return the maximum use of the windows in which retries were denied."""
+        """Return the maximum use of windows in which retries were denied."""
         window = self.bounds.window
         constrained = [
             begin
--- a/tests/steering/repeat_count.py
+++ b/tests/steering/repeat_count.py
@@ -1,4 +1,4 @@
-"""Counts repeats over all entries, in windows, as the operators count them."""
+"""Counts retries over all entries in sliding windows, as operators do."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -7,105 +7,110 @@
 
 from worksrail.core.steering import SteeringBounds
 
-# A moment of the virtual clock, in steps.
+# Time of the virtual clock, in steps.
 Step = int
 
 
 @dataclass(slots=True)
-class Wish:
-    """A time in which repeats are wanted."""
+class DemandPeriod:
+    """A period in which retries are needed."""
 
     begin: Step
-    """First moment."""
+    """First step."""
 
     end: float = inf
-    """Last moment, if it is over."""
+    """Last step, if the period is over."""
 
 
 @dataclass(frozen=True, slots=True)
 class Window:
-    """Repeats in one window."""
+    """Retries in one window."""
 
     begin: float
-    """Seconds from the begin of the load."""
+    """Start of the window, seconds since the start of the load."""
 
-    repeats: int
-    """Arrivals beyond the first of each request, over all entries."""
+    retries: int
+    """Attempts after the first of each request, over all entries."""
 
     allowed: float
-    """How many the bounds allow."""
+    """Number of retries that the bounds allow."""
 
     @property
     def share(self) -> float:
-        """Repeats sent over those allowed."""
-        if not self.repeats:
+        """Ratio of the retries sent to those allowed."""
+        if not self.retries:
             return 0
-        return self.repeats / self.allowed if self.allowed else inf
+        return self.retries / self.allowed if self.allowed else inf
 
 
 @dataclass(slots=True)
-class RepeatCount:
-    """Requests and repeats of one service, over all entries."""
+class RetryCount:
+    """Requests and retries of one service, over all entries."""
 
     step: float
-    """Seconds of a step."""
+    """Length of a step, seconds."""
 
-    sheets: list[tuple[Step, SteeringBounds]]
-    """Bounds, and from when on they are in force; the window is always one."""
+    bounds_history: list[tuple[Step, SteeringBounds]]
+    """Bounds with the step from which they apply; all have the same window."""
 
     now: Step = 0
-    """Present moment."""
+    """Present step."""
 
     begin: Step = 0
-    """Begin of the load."""
+    """First step of the load."""
 
     requests: Counter[Step] = field(default_factory=Counter)
-    """Requests of callers, by when they came."""
+    """Requests of callers by step of arrival."""
 
-    repeats: Counter[Step] = field(default_factory=Counter)
-    """Arrivals at upstreams beyond the first of each request."""
+    retries: Counter[Step] = field(default_factory=Counter)
+    """Attempts at upstreams after the first of each request, by step."""
 
     denials: Counter[Step] = field(default_factory=Counter)
-    """Repeats that were not sent for the budget's sake."""
+    """Retries that the budget denied, by step."""
 
-    wishes: list[Wish] = field(default_factory=list)
-    """Times in which repeats were wanted."""
+    demand_periods: list[DemandPeriod] = field(default_factory=list)
+    """Periods in which retries were needed."""
 
-    def wish(self, *, wanted: bool) -> None:
-        """From now on repeats are wanted, or no more."""
-        if self.wishes:
-            self.wishes[-1].end = min(self.wishes[-1].end, self.now)
+    def record_demand(self, *, wanted: bool) -> None:
+        """Start or end a period in which retries are needed."""
+        if self.demand_periods:
+            self.demand_periods[-1].end = min(
+                self.demand_periods[-1].end, self.now
+            )
         if wanted:
-            self.wishes.append(Wish(self.now))
+            self.demand_periods.append(DemandPeriod(self.now))
 
     def windows(self) -> list[Window]:
-        """All windows that begin or end at a repeat."""
-        begins = {at - self._length for at in self.repeats}
-        return self._windows(begins | set(self.repeats))
+        """Return all windows that begin or end at a retry."""
+        begins = {at - self._length for at in self.retries}
+        return self._windows(begins | set(self.retries))
 
-    def uses(self) -> list[float]:
-        """Share of what is allowed that went out while more were wanted.
+    def max_uses(self) -> list[float]:
+        """Return the maximum use of the budget in each period of demand.
 
-        It is that of the fullest window, for each time in which repeats were
-        wanted; zero if none was denied then.
+        It is the share of the fullest window that ends in the period; zero if
+        no retry was denied then.
         """
-        return [self._use(wish) for wish in self.wishes]
+        return [
+            self._max_use(record_demand)
+            for record_demand in self.demand_periods
+        ]
 
     @property
     def _length(self) -> Step:
-        return round(self.sheets[0][1].repeat_window / self.step)
+        return round(self.bounds_history[0][1].repeat_window / self.step)
 
-    def _use(self, wish: Wish) -> float:
-        end = min(wish.end, self.now)
-        if not any(wish.begin < at <= end for at in self.denials):
+    def _max_use(self, record_demand: DemandPeriod) -> float:
+        end = min(record_demand.end, self.now)
+        if not any(record_demand.begin < at <= end for at in self.denials):
             return 0
-        ends = range(wish.begin, int(end) + 1)
+        ends = range(record_demand.begin, int(end) + 1)
         windows = self._windows({one - self._length for one in ends})
         return max(window.share for window in windows)
 
     def _windows(self, begins: set[Step]) -> list[Window]:
         asked = _Sums(self.requests, self.now)
-        sent = _Sums(self.repeats, self.now)
+        sent = _Sums(self.retries, self.now)
         return [
             Window(
                 round((begin - self.begin) * self.step, 2),
@@ -121,16 +126,18 @@
             asked.within(begin - before, length)
             for before in (0, length // 2, length)
         ]
-        ends = [since for since, _ in self.sheets[1:]] + [self.now + 1]
+        ends = [since for since, _ in self.bounds_history[1:]] + [self.now + 1]
         return max(
             bounds.repeat_ratio * max(counts) + bounds.repeat_extra
-            for (since, bounds), until in zip(self.sheets, ends, strict=True)
+            for (since, bounds), until in zip(
+                self.bounds_history, ends, strict=True
+            )
             if begin < until and since <= begin + length
         )
 
 
 class _Sums:
-    """Sums of counts over windows of steps, both ends included."""
+    """Prefix sums of counts; windows include both ends."""
 
     def __init__(self, counts: Counter[Step], last: Step) -> None:
         self.last = last
@@ -140,7 +147,7 @@
         ]
 
     def within(self, begin: Step, length: Step) -> int:
-        """Sum from a step on, over the length of a window."""
+        """Return the sum over a window that begins at a step."""
         return self._until(begin + length) - self._until(begin - 1)
 
     def _until(self, step: Step) -> int:
--- a/tests/steering/repeating_scenes.py
+++ b/tests/steering/repeating_scenes.py
@@ -1,53 +1,53 @@
-"""What callers, upstreams and operators do while repeats are counted."""
+"""Scenarios of load and faults in which retries are counted."""
 
 import math
 from collections.abc import Callable
 from dataclasses import replace
 
-from tests.steering.repeating_world import REGIONS, RepeatingWorld
+from tests.steering.repeating_world import REGIONS, RetryFleetWorld
 
-Scene = Callable[[RepeatingWorld], None]
+Scene = Callable[[RetryFleetWorld], None]
 
-# Share of the sends that are rejected: more than the bounds let be repeated.
+# Share of the attempts that are rejected: more than the budget lets be retried.
 _MANY = 0.8
-# One turn of a load that moves, and the last part of it, in which requests are
-# rejected; in windows.
+# Time for which a moving load stays in one region, and the last part of it, in
+# which requests are rejected; both in windows.
 _TURN = 0.9
 _LATE = 0.2
-# How regions' loads go up and down, and the seconds from crest to crest.
+# Amplitude of the regions' load waves, and their period in seconds.
 _SWING = 0.55
 _PERIOD = 36.0
-# Seconds from one stop to the next, and share of the entries that are stopped.
+# Seconds between two stops, and share of the entries that are stopped.
 _STOPS_APART = 0.4
 _STOPPED = 0.45
-# Stops before the first rejection.
+# Number of stops before the first rejection.
 _STOPS_BEFORE = 3
 # Share of the entries that are killed.
 _KILLED = 0.6
-# Share of the entries that freeze or are cut off, and for how many seconds.
+# Share of the entries that freeze or are cut off, and the durations in seconds.
 _TROUBLED = 0.3
 _FROZEN_TIME = 3.0
 _CUT_TIME = 5.0
 # Share of the entries that are added.
 _ADDED = 0.3
-# Seconds for which a zone is empty.
+# Seconds for which a zone is evacuated.
 _EMPTY_TIME = 6.0
 
 
-def level(world: RepeatingWorld) -> None:
-    """Repeats are wanted all the time."""
+def level(world: RetryFleetWorld) -> None:
+    """Retries are needed all the time."""
     world.reject(_MANY)
     world.wait(2 * world.bounds.repeat_window)
 
 
-def late(world: RepeatingWorld) -> None:
-    """Repeats are wanted from some moment on."""
+def late(world: RetryFleetWorld) -> None:
+    """Retries are needed after a window without rejections."""
     world.wait(world.bounds.repeat_window)
     level(world)
 
 
-def at_once(world: RepeatingWorld) -> None:
-    """Everything is rejected for a moment, and again a while later."""
+def at_once(world: RetryFleetWorld) -> None:
+    """All attempts are rejected for a short time, three times."""
     window = world.bounds.repeat_window
     world.wait(window)
     for _ in range(3):
@@ -57,53 +57,53 @@
         world.wait(0.4 * window)
 
 
-def one_region(world: RepeatingWorld) -> None:
-    """Repeats are wanted by the entries of one region only."""
+def one_region(world: RetryFleetWorld) -> None:
+    """Only the entries of one region need retries."""
     world.wait(world.bounds.repeat_window)
     world.reject(_MANY, 'b')
     world.wait(2 * world.bounds.repeat_window)
 
 
-def unreached(world: RepeatingWorld) -> None:
-    """Some of the upstreams take no connections."""
-    world.demand.unreached = 0.3
+def unreachable(world: RetryFleetWorld) -> None:
+    """Some attempts find no connection, in addition to the rejections."""
+    world.demand.unreachable_share = 0.3
     late(world)
 
 
-def moving(world: RepeatingWorld) -> None:
-    """All load is on one region after the other, rejected at its end."""
+def moving(world: RetryFleetWorld) -> None:
+    """All load moves from region to region; each turn ends with rejections."""
     _move(world, lambda left: None)
 
 
-def moving_longer(world: RepeatingWorld) -> None:
-    """The same with twice as many rejections."""
+def moving_longer(world: RetryFleetWorld) -> None:
+    """Like ``moving``, with rejections twice as long."""
     _move(world, lambda left: None, late=2 * _LATE)
 
 
-def moving_once(world: RepeatingWorld) -> None:
+def moving_once(world: RetryFleetWorld) -> None:
     """All load moves from one region to another one."""
     _move(world, lambda left: None, turns='ab')
 
 
-def moving_stops(world: RepeatingWorld) -> None:
-    """Entries that callers have left are stopped and started again."""
+def moving_stops(world: RetryFleetWorld) -> None:
+    """Entries that callers have left are stopped and restarted."""
     _move(world, lambda left: _each(world.leave, left))
 
 
-def moving_crashes(world: RepeatingWorld) -> None:
-    """Entries that callers have left are killed and started again."""
+def moving_crashes(world: RetryFleetWorld) -> None:
+    """Entries that callers have left are killed and restarted."""
     _move(world, lambda left: world.crash(*left))
 
 
 def killed_with_all_load(
     after: float,
-) -> Callable[[RepeatingWorld], None]:
-    """A zone that has all load is killed whole and started again."""
+) -> Callable[[RetryFleetWorld], None]:
+    """Kill and restart a whole zone that has all load."""
 
-    def scene(world: RepeatingWorld) -> None:
+    def scene(world: RetryFleetWorld) -> None:
         window = world.bounds.repeat_window
         names = [name for name in sorted(world.states) if name.startswith('a1')]
-        world.demand.liking = lambda name: float(name.startswith('a1'))
+        world.demand.entry_weight = lambda name: float(name.startswith('a1'))
         world.wait(window)
         world.reject(_MANY)
         world.wait(0.5 * window)
@@ -117,16 +117,16 @@
     return scene
 
 
-def sudden(world: RepeatingWorld) -> None:
-    """A service that nobody asked for gets all its load, much rejected."""
+def sudden(world: RetryFleetWorld) -> None:
+    """A service without requests gets its full load, mostly rejected."""
     full, world.demand.rate = world.demand.rate, 0
     world.wait(2 * world.bounds.repeat_window)
     world.demand.rate = full
     level(world)
 
 
-def rise_and_fall(world: RepeatingWorld) -> None:
-    """All load rises for little more than a window, and falls again."""
+def rise_and_fall(world: RetryFleetWorld) -> None:
+    """The total load rises for little more than a window, and falls again."""
     window, full = world.bounds.repeat_window, world.demand.rate
     world.demand.rate = 0.3 * full
     world.wait(2 * window)
@@ -138,14 +138,14 @@
     world.wait(2 * window)
 
 
-def waves(world: RepeatingWorld) -> None:
-    """The load of regions goes up and down by turns."""
+def waves(world: RetryFleetWorld) -> None:
+    """The load of regions goes up and down in turn."""
     _wave(world)
     late(world)
 
 
-def stops(world: RepeatingWorld) -> None:
-    """Entries are stopped in turn and come back; callers use others."""
+def stops(world: RetryFleetWorld) -> None:
+    """Entries are stopped in turn and restarted; callers use the others."""
     window = world.bounds.repeat_window
     world.wait(window)
     for number, name in enumerate(_some(world, _STOPPED)):
@@ -156,42 +156,42 @@
     world.wait(window)
 
 
-def waves_and_stops(world: RepeatingWorld) -> None:
+def waves_and_stops(world: RetryFleetWorld) -> None:
     """Entries are stopped in turn while the load of regions changes."""
     _wave(world)
     stops(world)
 
 
-def zone_emptied(world: RepeatingWorld) -> None:
-    """Callers and requests leave a zone and come back to it."""
+def zone_emptied(world: RetryFleetWorld) -> None:
+    """Callers and requests leave a zone and return to it."""
     world.wait(world.bounds.repeat_window)
     world.evacuate('a1')
-    world.like('a2', 'b', 'c')
+    world.use_only('a2', 'b', 'c')
     world.wait(_EMPTY_TIME / 2)
     world.reject(_MANY)
     world.wait(_EMPTY_TIME / 2)
     world.evacuate()
-    world.like('')
+    world.use_only('')
     world.wait(2 * world.bounds.repeat_window)
 
 
-def some_crash(world: RepeatingWorld) -> None:
-    """Most entries are killed at once, in the midst of rejections."""
+def some_crash(world: RetryFleetWorld) -> None:
+    """Most entries are killed at once during rejections."""
     _trouble(world, lambda: world.crash(*_some(world, _KILLED)))
 
 
-def all_crash(world: RepeatingWorld) -> None:
-    """All entries are killed at once, in the midst of rejections."""
+def all_crash(world: RetryFleetWorld) -> None:
+    """All entries are killed at once during rejections."""
     _trouble(world, lambda: world.crash(*sorted(world.states)))
 
 
-def all_crash_late(world: RepeatingWorld) -> None:
-    """All entries are killed at once when they have sent what they may."""
+def all_crash_late(world: RetryFleetWorld) -> None:
+    """All entries are killed at once after they have used their budget."""
     _trouble(world, lambda: world.crash(*sorted(world.states)), after=6)
 
 
-def some_freeze(world: RepeatingWorld) -> None:
-    """Some entries stand still and go on with what they had under way."""
+def some_freeze(world: RetryFleetWorld) -> None:
+    """Some entries are suspended and resume with their pending requests."""
 
     def freeze() -> None:
         world.frozen |= set(_some(world, _TROUBLED))
@@ -201,8 +201,8 @@
     _trouble(world, freeze)
 
 
-def some_cut_off(world: RepeatingWorld) -> None:
-    """Some entries hear nothing of others, but still have callers."""
+def some_cut_off(world: RetryFleetWorld) -> None:
+    """Some entries are cut off from the others, but still have callers."""
 
     def cut() -> None:
         world.cut_off |= set(_some(world, _TROUBLED))
@@ -212,22 +212,22 @@
     _trouble(world, cut)
 
 
-def cut_off_before(world: RepeatingWorld) -> None:
-    """Some entries are cut off before the first rejection, all load there."""
+def cut_off_before(world: RetryFleetWorld) -> None:
+    """Some entries with all load are cut off before the first rejection."""
     world.wait(world.bounds.repeat_window)
     cut = set(_some(world, _TROUBLED))
     world.cut_off |= cut
     world.wait(_CUT_TIME / 2)
-    world.demand.liking = lambda name: float(name in cut)
+    world.demand.entry_weight = lambda name: float(name in cut)
     world.reject(_MANY)
     world.wait(_CUT_TIME / 2)
     world.cut_off.clear()
-    world.demand.liking = lambda name: float(name not in cut)
+    world.demand.entry_weight = lambda name: float(name not in cut)
     world.wait(world.bounds.repeat_window)
 
 
-def added(world: RepeatingWorld) -> None:
-    """Entries are added that callers use like the others."""
+def added(world: RetryFleetWorld) -> None:
+    """Entries are added, and callers use them like the others."""
 
     def add() -> None:
         for name in _some(world, _ADDED):
@@ -236,35 +236,39 @@
     _trouble(world, add)
 
 
-def added_and_used(world: RepeatingWorld) -> None:
-    """Entries are added, and callers use no others from then on."""
+def added_and_used(world: RetryFleetWorld) -> None:
+    """Entries are added, and callers use only these from then on."""
 
     def add() -> None:
         names = [f'{name}9' for name in _some(world, _ADDED)]
         _each(world.start, names)
-        world.demand.liking = lambda name: float(name in names)
+        world.demand.entry_weight = lambda name: float(name in names)
 
     _trouble(world, add)
 
 
-def ratio_lowered(world: RepeatingWorld) -> None:
-    """Entries read other settings while repeats are wanted."""
+def ratio_lowered(world: RetryFleetWorld) -> None:
+    """The ratio is lowered while retries are needed."""
     late(world)
     world.set_bounds(replace(world.bounds, repeat_ratio=0.05))
     world.wait(2 * world.bounds.repeat_window)
 
 
 def _move(
-    world: RepeatingWorld,
+    world: RetryFleetWorld,
     follow: Callable[[list[str]], None],
     turns: str = 'abcab',
     late: float = _LATE,
 ) -> None:
     window = world.bounds.repeat_window
     for region in turns:
-        left = [one for one in sorted(world.states) if world.demand.liking(one)]
-        world.like(region)
-        if world.count.wishes:
+        left = [
+            one
+            for one in sorted(world.states)
+            if world.demand.entry_weight(one)
+        ]
+        world.use_only(region)
+        if world.count.demand_periods:
             follow(left)
         world.wait((_TURN - late) * window)
         world.reject(_MANY)
@@ -272,27 +276,27 @@
         world.reject(0)
 
 
-def _wave(world: RepeatingWorld) -> None:
-    def liking(name: str) -> float:
+def _wave(world: RetryFleetWorld) -> None:
+    def entry_weight(name: str) -> float:
         turn = 'abc'.index(REGIONS[name.partition('-')[0]]) / 3
         angle = 2 * math.pi * (world.now / _PERIOD + turn)
         return 1 + _SWING * math.sin(angle)
 
-    world.demand.liking = liking
+    world.demand.entry_weight = entry_weight
 
 
 def _trouble(
-    world: RepeatingWorld, befall: Callable[[], None], after: float = 1
+    world: RetryFleetWorld, fault: Callable[[], None], after: float = 1
 ) -> None:
-    """Something befalls entries after some seconds of rejections."""
+    """Cause a fault after some seconds of rejections."""
     world.wait(world.bounds.repeat_window)
     world.reject(_MANY)
     world.wait(after)
-    befall()
+    fault()
     world.wait(2 * world.bounds.repeat_window)
 
 
-def _some(world: RepeatingWorld, share: float) -> list[str]:
+def _some(world: RetryFleetWorld, share: float) -> list[str]:
     count = max(1, round(share * len(world.states)))
     return world.draw.sample(sorted(world.states), count)
 
--- a/tests/steering/repeating_world.py
+++ b/tests/steering/repeating_world.py
@@ -1,8 +1,8 @@
 """A fleet of entries whose upstreams reject requests as not executed.
 
-Callers send requests to entries, each to those that it likes.  An upstream
-rejects a share of what reaches it at once and executes the rest.  Requests are
-counted when they come to an entry, repeats when they reach an upstream.
+Callers send requests to entries, chosen by weight.  An upstream rejects a share
+of the attempts at once and executes the rest.  Requests are counted when they
+arrive at an entry, retries when they reach an upstream.
 """
 
 import random
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field, replace
 
 from tests.steering.fleet_world import STEP, FleetWorld
-from tests.steering.repeat_count import RepeatCount
+from tests.steering.repeat_count import RetryCount
 from tests.steering.world import HOST, of_type, route, upstream
 from worksrail.core.steering import SteeringBounds, UpstreamRecord
 from worksrail.core.steering.effects import (
@@ -33,19 +33,19 @@
 
 ZONES = ('a1', 'a2', 'b1', 'b2', 'c1', 'c2')
 REGIONS = {zone: zone[0] for zone in ZONES}
-# Seconds of an execution, and for which callers wait.
-_WORK = 0.2
-_PATIENCE = 2.5
+# Seconds of an execution, and timeout of callers.
+_EXECUTION_TIME = 0.2
+_CALLER_TIMEOUT = 2.5
 _SLOTS = 200
 _UPSTREAMS = 6
 _NO_BUDGET = (DecisionKind.REPEAT_DENIED, 'budget')
-# Seconds from the exit of an entry until it is started again.
-_AWAY = 1.0
+# Seconds from the exit of an entry until its restart.
+_RESTART_DELAY = 1.0
 
 
 @dataclass(frozen=True, slots=True)
-class Ending:
-    """An attempt that is to end."""
+class AttemptEnd:
+    """The scheduled end of an attempt."""
 
     entry: str
     """Entry that made it."""
@@ -54,7 +54,7 @@
     """Its request."""
 
     attempt: int
-    """Which of its attempts."""
+    """Number of the attempt."""
 
     outcome: AttemptOutcome
     """How it ends."""
@@ -62,22 +62,22 @@
 
 @dataclass(slots=True)
 class Demand:
-    """Who asks for how much, and what is rejected."""
+    """Load of the callers, and the shares that fail."""
 
     rate: float = 0
-    """Requests a second of all callers together."""
+    """Requests per second of all callers together."""
 
-    liking: Callable[[str], float] = field(default=lambda name: 1.0)
-    """How much callers like an entry, by its name."""
+    entry_weight: Callable[[str], float] = field(default=lambda name: 1.0)
+    """Relative share of the callers that use an entry, by its name."""
 
-    rejected: Callable[[str], float] = field(default=lambda name: 0.0)
-    """Share of what an entry sends that upstreams reject, by its name."""
+    rejected_share: Callable[[str], float] = field(default=lambda name: 0.0)
+    """Share of an entry's attempts that upstreams reject, by its name."""
 
-    unreached: float = 0
-    """Share of what entries send that finds no connection."""
+    unreachable_share: float = 0
+    """Share of the attempts that find no connection."""
 
 
-class RepeatingWorld(FleetWorld):
+class RetryFleetWorld(FleetWorld):
     """Entries, upstreams that reject requests, and callers."""
 
     routes = (route(max_attempts=3),)
@@ -92,21 +92,21 @@
         fresh: bool = False,
         seed: int = 1,
     ) -> None:
-        """Start entries and upstreams, and callers as soon as these are old.
+        """Start entries and upstreams, and callers after a window.
 
-        Fresh ones get their load as soon as they are ready.
+        With ``fresh``, callers start as soon as the entries are ready.
         """
         self.bounds = bounds
-        self.count = RepeatCount(STEP, [(0, bounds)])
+        self.count = RetryCount(STEP, [(0, bounds)])
         self.draw = random.Random(seed)
         self.demand = Demand()
         self.asked = 0
-        self.owed = 0.0
+        self.due_requests = 0.0
         self.reached: set[int] = set()
         self.refusals: list[AnswerResult | None] = []
-        self.endings: dict[int, list[Ending]] = defaultdict(list)
+        self.attempt_ends: dict[int, list[AttemptEnd]] = defaultdict(list)
         self.exits: list[str] = []
-        self.returning: dict[int, list[str]] = defaultdict(list)
+        self.restarts: dict[int, list[str]] = defaultdict(list)
         self.evacuations = 1
         self.records: tuple[UpstreamRecord, ...] = ()
         super().__init__(zones, REGIONS, loss)
@@ -127,61 +127,61 @@
         self.demand.rate = rate
 
     def start(self, name: str) -> None:
-        """Start an entry, or start it again."""
+        """Start or restart an entry."""
         super().start(name)
         if self.records:
             self.deliver_store(name, 1, self.records)
 
     def crash(self, *names: str) -> None:
-        """Kill entries, which are started again; all they did is lost."""
+        """Kill and restart entries; their pending requests are lost."""
         for name in names:
             self.stop(name)
-        for step, ending in self.endings.items():
-            self.endings[step] = [
-                one for one in ending if one.entry not in names
+        for step, ends in self.attempt_ends.items():
+            self.attempt_ends[step] = [
+                one for one in ends if one.entry not in names
             ]
-        self.returning[self.count.now + round(_AWAY / STEP)] += names
+        self.restarts[self.count.now + round(_RESTART_DELAY / STEP)] += names
 
     def leave(self, name: str) -> None:
-        """An entry is asked to stop, and started again after its exit."""
+        """Ask an entry to stop, and restart it after its exit."""
         self._run(name, StopRequested(self.now))
 
     def evacuate(self, *zones: str) -> None:
-        """Requests shall leave some zones, and may come back to others."""
+        """Evacuate exactly these zones."""
         self.evacuations += 1
         event = EvacuationsRead(self.now, frozenset(zones), self.evacuations)
         for name in self.states:
             self._run(name, event)
 
     def reject(self, share: float, region: str = '') -> None:
-        """Upstreams reject a share of what entries send, or a region's do."""
-        self.demand.rejected = lambda name: share * _is_in(name, region)
-        self.count.wish(wanted=share > 0)
+        """Let upstreams reject a share of the attempts, of a region or all."""
+        self.demand.rejected_share = lambda name: share * _is_in(name, region)
+        self.count.record_demand(wanted=share > 0)
 
-    def like(self, *places: str) -> None:
-        """Callers use the entries of some zones or regions only."""
-        self.demand.liking = lambda name: any(
+    def use_only(self, *places: str) -> None:
+        """Let callers use only the entries of some zones or regions."""
+        self.demand.entry_weight = lambda name: any(
             _is_in(name, place) for place in places
         )
 
     def set_bounds(self, bounds: SteeringBounds) -> None:
-        """All entries read their settings again; the window stays."""
+        """Change the bounds at all entries; the window stays the same."""
         self.bounds = bounds
-        self.count.sheets.append((self.count.now, bounds))
+        self.count.bounds_history.append((self.count.now, bounds))
         for state in self.states.values():
             state.settings = replace(state.settings, bounds=bounds)
 
     def wait(self, seconds: float) -> None:
-        """Let time pass; callers come."""
+        """Let time pass, with the load of the callers."""
         for _ in range(round(seconds / STEP)):
             self.count.now += 1
             super().wait(STEP)
-            self._let_entries_return()
-            self._end_attempts()
-            self._let_callers_come()
+            self._restart_entries()
+            self._run_attempt_ends()
+            self._generate_requests()
 
     def running(self) -> list[str]:
-        """Entries that callers can use."""
+        """Return the entries that callers can use."""
         return sorted(
             name
             for name, state in self.states.items()
@@ -193,7 +193,7 @@
             return
         super()._perform(name, effects)
         for send in of_type(effects, SendUpstream):
-            self._take(name, send)
+            self._execute(name, send)
         for one in of_type(effects, Decision):
             if (one.kind, one.subject) == _NO_BUDGET:
                 self.count.denials[self.count.now] += 1
@@ -202,19 +202,21 @@
         if of_type(effects, ExitProcess):
             self.exits.append(name)
 
-    def _take(self, entry: str, send: SendUpstream) -> None:
-        """An upstream takes a request, or rejects it, or is not reached."""
-        unreached = self.demand.unreached
-        if unreached and self.draw.random() < unreached:
+    def _execute(self, entry: str, send: SendUpstream) -> None:
+        """Let an attempt be executed, rejected or find no connection."""
+        unreachable_share = self.demand.unreachable_share
+        if unreachable_share and self.draw.random() < unreachable_share:
             self._end_after(STEP, entry, send, AttemptOutcome.NOT_CONNECTED)
             return
         if send.request in self.reached:
-            self.count.repeats[self.count.now] += 1
+            self.count.retries[self.count.now] += 1
         self.reached.add(send.request)
-        if self.draw.random() < self.demand.rejected(entry):
+        if self.draw.random() < self.demand.rejected_share(entry):
             self._end_after(STEP, entry, send, AttemptOutcome.NOT_EXECUTED)
         else:
-            self._end_after(_WORK, entry, send, AttemptOutcome.ANSWERED)
+            self._end_after(
+                _EXECUTION_TIME, entry, send, AttemptOutcome.ANSWERED
+            )
 
     def _end_after(
         self,
@@ -223,14 +225,14 @@
         send: SendUpstream,
         outcome: AttemptOutcome,
     ) -> None:
-        self.endings[self.count.now + round(seconds / STEP)].append(
-            Ending(entry, send.request, send.attempt, outcome)
+        self.attempt_ends[self.count.now + round(seconds / STEP)].append(
+            AttemptEnd(entry, send.request, send.attempt, outcome)
         )
 
-    def _end_attempts(self) -> None:
-        for one in self.endings.pop(self.count.now, ()):
+    def _run_attempt_ends(self) -> None:
+        for one in self.attempt_ends.pop(self.count.now, ()):
             if one.entry in self.frozen:
-                self.endings[self.count.now + 1].append(one)
+                self.attempt_ends[self.count.now + 1].append(one)
             elif one.entry in self.states:
                 answered = one.outcome is AttemptOutcome.ANSWERED
                 event = AttemptEnded(
@@ -242,29 +244,34 @@
                 )
                 self._run(one.entry, event)
 
-    def _let_entries_return(self) -> None:
+    def _restart_entries(self) -> None:
         exits, self.exits = self.exits, []
         self.crash(*exits)
-        for name in self.returning.pop(self.count.now, ()):
+        for name in self.restarts.pop(self.count.now, ()):
             self.start(name)
 
-    def _let_callers_come(self) -> None:
-        self.owed += self.demand.rate * STEP
-        count, self.owed = int(self.owed), self.owed % 1
+    def _generate_requests(self) -> None:
+        self.due_requests += self.demand.rate * STEP
+        count, self.due_requests = int(self.due_requests), self.due_requests % 1
         running = self.running()
-        weights = [self.demand.liking(name) for name in running]
+        weights = [self.demand.entry_weight(name) for name in running]
         if not count or not any(weights):
             return
         for entry in self.draw.choices(running, weights, k=count):
             self.asked += 1
             self.count.requests[self.count.now] += 1
             head = SteeredHead(
-                f't{self.asked}', HOST, 'GET', '/read/x', _PATIENCE, ''
+                f't{self.asked}',
+                HOST,
+                'GET',
+                '/read/x',
+                _CALLER_TIMEOUT,
+                '',
             )
             self._run(entry, RequestArrived(self.now, self.asked, head))
 
 
 def _is_in(entry: str, place: str) -> bool:
-    """Whether an entry runs in a zone or region; an empty one is all."""
+    """Whether an entry runs in a zone or region; empty means any."""
     zone = entry.partition('-')[0]
     return place in {'', zone, REGIONS[zone]}
--- a/tests/steering/test_repeats_over_a_fleet.py
+++ b/tests/steering/test_repeats_over_a_fleet.py
@@ -1,12 +1,12 @@
-"""Repeats of all entries together, over whole fleets."""
+"""Simulates the retry budget over whole fleets."""
 
 from typing import Any, Final
 
 import pytest
 
 from tests.steering import repeating_scenes as scenes
-from tests.steering.repeat_count import RepeatCount
-from tests.steering.repeating_world import ZONES, RepeatingWorld
+from tests.steering.repeat_count import RetryCount
+from tests.steering.repeating_world import ZONES, RetryFleetWorld
 from worksrail.core.results import ResultCode
 from worksrail.core.steering import SteeringBounds
 
@@ -14,14 +14,14 @@
 _NINE: Final = {'a1': 2, 'a2': 1, 'b1': 2, 'b2': 1, 'c1': 2, 'c2': 1}
 _SIXTY: Final = dict.fromkeys(ZONES, 11) | {'a1': 12}
 _HUNDREDS: Final = dict.fromkeys(ZONES, 50)
-# Share of what is allowed that goes out while more repeats are wanted.
-_USED_SHARE: Final = 0.9
-# Repeats allowed besides, as seconds of the load.
+# Minimum use of the budget while retries are denied.
+_MIN_USE: Final = 0.9
+# Additional retries in each window, as seconds of the load.
 _EXTRA_SECONDS: Final = 0.12
-# Seconds from the start of an entry until it has its part.
-_SOON: Final = 3.0
+# Seconds from the start of an entry until it has its share.
+_STARTUP_TIME: Final = 3.0
 
-# Entries in each zone, requests a second, what happens, what differs.
+# Entries per zone, requests per second, scenario, changed parameters.
 _CALM: Final = (
     pytest.param(_THREE, 60, scenes.level, {}, id='3-level'),
     pytest.param(_THREE, 60, scenes.late, {}, id='3-late'),
@@ -36,7 +36,7 @@
     pytest.param(_SIXTY, 200, scenes.late, {}, id='67-late'),
     pytest.param(_SIXTY, 200, scenes.waves, {}, id='67-waves'),
 )
-# Repeats are wanted for a short time, or by few entries.
+# Retries are needed for a short time, or by few entries.
 _SHORT: Final = (
     pytest.param(_SIXTY, 200, scenes.one_region, {}, id='67-one-region'),
     pytest.param(_THREE, 20, scenes.moving, {}, id='3-moving-slow'),
@@ -62,7 +62,7 @@
     pytest.param(_THREE, 60, scenes.added_and_used, {}, id='3-added'),
     pytest.param(_THREE, 60, scenes.ratio_lowered, {}, id='3-ratio-lowered'),
     pytest.param(_NINE, 100, scenes.late, {'window': 1}, id='9-window-1'),
-    pytest.param(_NINE, 100, scenes.unreached, {}, id='9-unreached'),
+    pytest.param(_NINE, 100, scenes.unreachable, {}, id='9-unreached'),
     pytest.param(_NINE, 100, scenes.moving, {'extra': 0}, id='9-moving-0'),
     pytest.param(
         _NINE,
@@ -118,20 +118,20 @@
     ratio: float = 0.2,
     window: float = 10,
     **changes: Any,
-) -> RepeatingWorld:
+) -> RetryFleetWorld:
     bounds = SteeringBounds(
         repeat_ratio=ratio,
         repeat_window=window,
         repeat_extra=changes.pop('extra', _EXTRA_SECONDS * rate),
     )
-    return RepeatingWorld(zones, bounds, rate=rate, **changes)
+    return RetryFleetWorld(zones, bounds, rate=rate, **changes)
 
 
-def _check_bound(world: RepeatingWorld) -> None:
+def _check_bound(world: RetryFleetWorld) -> None:
     worst = max(world.count.windows(), key=lambda window: window.share)
     print(f'worst {worst.share:.3f} {worst}')
-    print('use', *(f'{use:.2f}' for use in world.count.uses()))
-    assert worst.repeats <= worst.allowed
+    print('use', *(f'{use:.2f}' for use in world.count.max_uses()))
+    assert worst.retries <= worst.allowed
 
 
 @pytest.mark.parametrize(('zones', 'rate', 'scene', 'changes'), _CALM)
@@ -144,7 +144,7 @@
     world = _world(zones, rate, **changes)
     scene(world)
     _check_bound(world)
-    assert min(world.count.uses()) >= _USED_SHARE
+    assert min(world.count.max_uses()) >= _MIN_USE
 
 
 @pytest.mark.parametrize(('zones', 'rate', 'scene', 'changes'), _SHORT)
@@ -156,7 +156,7 @@
 ) -> None:
     world = _world(zones, rate, **changes)
     scene(world)
-    assert min(world.count.uses()) >= _USED_SHARE
+    assert min(world.count.max_uses()) >= _MIN_USE
 
 
 @pytest.mark.parametrize(
@@ -183,17 +183,17 @@
     world.wait(world.bounds.repeat_window)
     if name in world.states:
         world.crash(name)
-        world.wait(_SOON)
+        world.wait(_STARTUP_TIME)
     else:
         world.start(name)
-    world.demand.liking = lambda other: other == name
+    world.demand.entry_weight = lambda other: other == name
     world.reject(1)
-    world.wait(_SOON)
+    world.wait(_STARTUP_TIME)
     _check_bound(world)
-    assert min(world.count.uses()) >= _USED_SHARE
+    assert min(world.count.max_uses()) >= _MIN_USE
 
 
-def test_request_without_repeat_is_refused_at_once() -> None:
+def test_request_without_retry_is_refused_at_once() -> None:
     world = _world(_NINE, 100)
     scenes.late(world)
     answers = [answer for answer in world.refusals if answer]
@@ -202,8 +202,8 @@
     assert min(one.retry_after for one in answers) > 0
 
 
-# Requests and repeats by moment, in windows of ten; how many are allowed in the
-# window from a moment on.
+# Requests and retries by step, in windows of ten steps, and how many retries
+# are allowed in the window that begins at a step.
 _COUNTED: Final = (
     pytest.param({20: 30}, {20: 1}, 20, 15, id='that-window'),
     pytest.param({16: 30}, {20: 1}, 20, 15, id='half-a-window-before'),
@@ -215,26 +215,26 @@
 
 
 @pytest.mark.parametrize(('asked', 'sent', 'begin', 'allowed'), _COUNTED)
-def test_repeats_are_measured_by_the_window_with_most_requests(
+def test_retries_are_compared_with_the_window_with_most_requests(
     asked: dict[int, int],
     sent: dict[int, int],
     begin: int,
     allowed: float,
 ) -> None:
     bounds = SteeringBounds(repeat_ratio=0.5, repeat_window=10, repeat_extra=0)
-    count = RepeatCount(1, [(0, bounds)], 40)
+    count = RetryCount(1, [(0, bounds)], 40)
     count.requests.update(asked)
-    count.repeats.update(sent)
+    count.retries.update(sent)
     windows = {window.begin: window for window in count.windows()}
     assert windows[begin].allowed == allowed
 
 
 def test_both_ends_of_a_window_count() -> None:
     bounds = SteeringBounds(repeat_ratio=0.5, repeat_window=10, repeat_extra=3)
-    count = RepeatCount(1, [(0, bounds)], 40)
-    count.repeats.update({20: 2, 30: 3, 31: 4})
-    assert max(window.repeats for window in count.windows()) == 7
-    assert {window.begin: window.repeats for window in count.windows()} == {
+    count = RetryCount(1, [(0, bounds)], 40)
+    count.retries.update({20: 2, 30: 3, 31: 4})
+    assert max(window.retries for window in count.windows()) == 7
+    assert {window.begin: window.retries for window in count.windows()} == {
         10: 2,
         20: 5,
         21: 7,
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Tests which requests are held for the crashes they cause, and for how long."""
+"""Tests which requests are held for the crashes they cause, and how long."""
 
 import random
 
@@ -156,8 +156,8 @@
     assert len(update) == advertised
 
 
-# When the upstream last answered, when the attempt started, and whether its crash
-# counts for the request.  The upstream had crashed at 10 s.
+# When the upstream last answered, when the attempt started, and whether its
+# crash counts for the request.  The upstream had crashed at 10 s.
 @pytest.mark.parametrize('advertised', [False, True])
 @pytest.mark.parametrize(
     ('last_success_at', 'sent_at', 'counts'),
