--- a/tests/fuzz/test_permits.py
+++ b/tests/fuzz/test_permits.py
@@ -1,9 +1,9 @@
-"""Permits between three instances against one shared truth.
+"""Lending of permits between three instances, as a state machine.
 
-A state machine borrows, lends, uses, returns, recalls, renews; messages are
-delivered late, out of order, twice or never; clocks run apart.  After every
-step the permits in use are counted over all instances: they never exceed the
-limit.
+The machine borrows, lends, uses, returns, recalls and renews permits.
+Messages are delayed, reordered, duplicated or lost, and the clocks of the
+instances differ.  After each step, the permits in use on all instances
+together must not exceed the limit of the pool.
 """
 
 from typing import Any
@@ -42,7 +42,7 @@
 _SETTINGS = CoreSettings()
 
 
-class _Node:
+class _Instance:
     def __init__(self, name: str, seat: int) -> None:
         self.who = Incarnation(name, 1)
         self.offset = seat * 1000.0
@@ -63,116 +63,118 @@
 
 class PermitMachine(RuleBasedStateMachine):
     @initialize()
-    def begin(self) -> None:
+    def start_instances(self) -> None:
         self.now = 0.0
-        self.nodes = {
-            name: _Node(name, seat) for seat, name in enumerate(_NAMES)
+        self.instances = {
+            name: _Instance(name, seat) for seat, name in enumerate(_NAMES)
         }
-        self.wire: list[tuple[str, str, Any]] = []
+        self.in_transit: list[tuple[str, str, Any]] = []
 
-    def clock(self, node: _Node) -> float:
-        return self.now + node.offset
+    def clock(self, instance: _Instance) -> float:
+        return self.now + instance.offset
 
-    def post(self, sender: str, messages: list[LoanMessage]) -> None:
+    def send(self, sender: str, messages: list[LoanMessage]) -> None:
         for one in messages:
-            self.wire.append((sender, one.receiver.name, one.message))
+            self.in_transit.append((sender, one.receiver.name, one.message))
 
     @rule(step=st.sampled_from((0.05, 0.5, 1.9, 3.0, 7.0)))
-    def time_passes(self, step: float) -> None:
+    def advance_time(self, step: float) -> None:
         self.now += step
-        for node in self.nodes.values():
-            # Nothing runs for longer than the longest run.
-            for hold, started in tuple(node.holds):
+        for instance in self.instances.values():
+            # No request runs for longer than ``longest_run``.
+            for hold, started in tuple(instance.holds):
                 if self.now - started >= _SETTINGS.longest_run:
-                    self.end(node, hold, started)
+                    self.end(instance, hold, started)
 
     @rule(name=st.sampled_from(_NAMES))
     def tick(self, name: str) -> None:
-        node = self.nodes[name]
-        self.post(name, list(node.lending.tick(self.clock(node))))
+        instance = self.instances[name]
+        self.send(name, list(instance.lending.tick(self.clock(instance))))
 
     @rule(name=st.sampled_from(_NAMES), waiting=st.integers(0, 4))
-    def ask(self, name: str, waiting: int) -> None:
-        node = self.nodes[name]
-        node.lending.set_shortage(_GROUP, waiting)
+    def borrow(self, name: str, waiting: int) -> None:
+        instance = self.instances[name]
+        instance.lending.set_shortage(_GROUP, waiting)
         lenders = [
             Lender(other.who, None)
-            for other in self.nodes.values()
-            if other is not node
+            for other in self.instances.values()
+            if other is not instance
         ]
-        asks = node.lending.request_loan(_GROUP, lenders, self.clock(node))
-        self.post(name, list(asks))
+        requests = instance.lending.request_loan(
+            _GROUP, lenders, self.clock(instance)
+        )
+        self.send(name, list(requests))
 
     @rule(name=st.sampled_from(_NAMES), key=st.sampled_from(list(_POOLS)))
     def take(self, name: str, key: PoolKey) -> None:
-        node = self.nodes[name]
-        hold = node.ledger.take(key, self.clock(node))
+        instance = self.instances[name]
+        hold = instance.ledger.take(key, self.clock(instance))
         if isinstance(hold, Hold):
-            node.holds.append((hold, self.now))
-            node.lending.record_use(_GROUP)
+            instance.holds.append((hold, self.now))
+            instance.lending.record_use(_GROUP)
 
     @rule(name=st.sampled_from(_NAMES), pick=st.integers(0, 9))
     def release(self, name: str, pick: int) -> None:
-        node = self.nodes[name]
-        if node.holds:
-            self.end(node, *node.holds[pick % len(node.holds)])
+        instance = self.instances[name]
+        if instance.holds:
+            self.end(instance, *instance.holds[pick % len(instance.holds)])
 
-    def end(self, node: _Node, hold: Hold, started: float) -> None:
-        node.holds.remove((hold, started))
-        node.ledger.release(hold, self.clock(node))
+    def end(self, instance: _Instance, hold: Hold, started: float) -> None:
+        instance.holds.remove((hold, started))
+        instance.ledger.release(hold, self.clock(instance))
         if hold.loan:
-            ended = node.lending.on_release(hold.loan, self.clock(node))
-            self.post(node.who.name, list(ended))
+            ended = instance.lending.on_release(hold.loan, self.clock(instance))
+            self.send(instance.who.name, list(ended))
 
-    @rule(pick=st.integers(0, 50), keep=st.booleans())
-    def deliver(self, pick: int, keep: bool) -> None:
-        if not self.wire:
+    @rule(pick=st.integers(0, 50), duplicate=st.booleans())
+    def deliver_message(self, pick: int, duplicate: bool) -> None:
+        if not self.in_transit:
             return
-        index = pick % len(self.wire)
-        entry = self.wire[index]
-        if not keep:
-            self.wire.pop(index)
+        index = pick % len(self.in_transit)
+        entry = self.in_transit[index]
+        if not duplicate:
+            self.in_transit.pop(index)
         sender, receiver, message = entry
-        self.receive(self.nodes[sender].who, receiver, message)
+        self.receive(self.instances[sender].who, receiver, message)
 
     @rule(pick=st.integers(0, 50))
-    def lose(self, pick: int) -> None:
-        if self.wire:
-            self.wire.pop(pick % len(self.wire))
+    def lose_message(self, pick: int) -> None:
+        if self.in_transit:
+            self.in_transit.pop(pick % len(self.in_transit))
 
     def receive(self, sender: Incarnation, name: str, message: Any) -> None:
-        node = self.nodes[name]
-        now = self.clock(node)
+        instance = self.instances[name]
+        now = self.clock(instance)
         match message:
             case LoanRequest():
-                answer = node.lending.on_request(message, sender, now)
-                self.post(name, [answer])
+                answer = instance.lending.on_request(message, sender, now)
+                self.send(name, [answer])
             case LoanGrant():
-                answers = node.lending.on_grant(message, sender, now)
-                self.post(name, list(answers))
+                answers = instance.lending.on_grant(message, sender, now)
+                self.send(name, list(answers))
             case LoanRecall():
-                answers = node.lending.on_recall(message, sender, now)
-                self.post(name, list(answers))
+                answers = instance.lending.on_recall(message, sender, now)
+                self.send(name, list(answers))
             case LoanReturn():
-                loan = LoanId(sender, message.loan)
-                node.ledger.apply_return(loan, message.kept_parts, now)
+                loan_id = LoanId(sender, message.loan)
+                instance.ledger.apply_return(loan_id, message.kept_parts, now)
 
     @invariant()
-    def never_more_than_the_limit(self) -> None:
+    def permits_in_use_stay_within_the_limit(self) -> None:
         for key, limit in _POOLS.items():
             used = sum(
-                node.ledger.pools[key].total_in_use
-                for node in self.nodes.values()
+                instance.ledger.pools[key].total_in_use
+                for instance in self.instances.values()
             )
             assert used <= limit, f'{key}: {used} of {limit} in use'
 
     @invariant()
-    def what_may_start_fits_too(self) -> None:
+    def usable_permits_stay_within_the_limit(self) -> None:
         for key, limit in _POOLS.items():
             total = sum(
-                node.ledger.pools[key].total_in_use
-                + node.ledger.available(key, self.clock(node))
-                for node in self.nodes.values()
+                instance.ledger.pools[key].total_in_use
+                + instance.ledger.available(key, self.clock(instance))
+                for instance in self.instances.values()
             )
             assert total <= limit, f'{key}: {total} of {limit} could run'
 
--- a/tests/retrying.py
+++ b/tests/retrying.py
@@ -1,4 +1,4 @@
-"""A world of the product's own mode in which all retries are counted."""
+"""A simulated fleet that serves bundles, in which all retries are counted."""
 
 from dataclasses import dataclass, field
 from functools import partial
@@ -22,107 +22,111 @@
 REGIONS: Final = ('north', 'south', 'west')
 SERVICE: Final = 'orders'
 _UPSTREAMS: Final = 18
-_SETTLED: Final = 8.0
+_SETTLING_S: Final = 8.0
 
 
 @dataclass
-class Tally:
-    """What all instances together sent again, and what was answered."""
+class RetryTally:
+    """Retries and answers of all instances together."""
 
     steps: list[float] = field(default_factory=list)
-    """One for each request sent again, minus the ratio for each answer."""
+    """One for each retry, minus the retry ratio for each answer."""
 
     sent: set[str] = field(default_factory=set)
-    """Traces of requests that were sent once."""
+    """Traces of requests that were sent at least once."""
 
-    under_way: set[tuple[int, int]] = field(default_factory=set)
-    """Requests that are at an upstream, by process and number."""
+    in_progress: set[tuple[int, int]] = field(default_factory=set)
+    """Requests in progress at an upstream, by process and number."""
 
     passed: set[str] = field(default_factory=set)
-    """Traces of requests that were passed on to be sent again."""
+    """Traces of requests that were passed to another instance for a retry."""
 
     retries: int = 0
-    """Requests sent again."""
+    """Number of retries."""
 
     successes: int = 0
-    """Requests answered."""
+    """Number of answered requests."""
 
-    def record_sent(self, key: tuple[int, int], trace: str) -> None:
-        """Count a request that goes to an upstream."""
-        self.under_way.add(key)
+    def count_sent(self, key: tuple[int, int], trace: str) -> None:
+        """Record a request that is sent to an upstream."""
+        self.in_progress.add(key)
         if trace in self.passed:
             self.passed.remove(trace)
         elif trace in self.sent:
-            self._note_retry()
+            self._count_retry()
         self.sent.add(trace)
 
-    def note_passed(self, key: tuple[int, int], trace: str) -> None:
-        """Count a request that goes to another instance."""
-        self.under_way.discard(key)
+    def count_passed(self, key: tuple[int, int], trace: str) -> None:
+        """Record a request that is passed to another instance."""
+        self.in_progress.discard(key)
         if trace in self.sent and trace not in self.passed:
             self.passed.add(trace)
-            self._note_retry()
+            self._count_retry()
 
-    def note_answered(self, key: tuple[int, int], ratio: float) -> None:
-        """Count the answer of an upstream."""
-        if key in self.under_way:
-            self.under_way.remove(key)
+    def count_answered(self, key: tuple[int, int], ratio: float) -> None:
+        """Record the answer of an upstream."""
+        if key in self.in_progress:
+            self.in_progress.remove(key)
             self.successes += 1
             self.steps.append(-ratio)
 
-    def _note_retry(self) -> None:
+    def _count_retry(self) -> None:
         self.retries += 1
         self.steps.append(1)
 
     def excess(self) -> float:
-        """Most retries, in any span, beyond those earned in that span."""
-        worst = current = 0.0
+        """Return the maximum, over all spans of time, of unearned retries."""
+        largest = current = 0.0
         for step in self.steps:
             current = max(0.0, current + step)
-            worst = max(worst, current)
-        return worst
+            largest = max(largest, current)
+        return largest
 
 
 class CountingRunner(EffectRunner):
-    """Runs effects and counts those that a retry budget is about."""
+    """Runs effects and records those that count against a retry budget."""
 
     def __init__(self, world: World) -> None:
-        """Count in a world."""
+        """Create a runner for a world."""
         super().__init__(world)
-        self.tally = Tally()
+        self.retry_tally = RetryTally()
 
     def run(self, process: FakeProcess, effect: Effect) -> None:
-        """Count an effect and run it."""
+        """Record an effect and run it."""
         if isinstance(effect, SendUpstream | PassRequest):
             key = (id(process), effect.request)
             trace = process.exchanges[effect.request].trace
             sent = isinstance(effect, SendUpstream)
-            note = self.tally.record_sent if sent else self.tally.note_passed
-            note(key, trace)
+            count = (
+                self.retry_tally.count_sent
+                if sent
+                else self.retry_tally.count_passed
+            )
+            count(key, trace)
         elif isinstance(effect, Note):
-            self._count_note(process, effect)
+            self._count_answer(process, effect)
         super().run(process, effect)
 
-    def _count_note(self, process: FakeProcess, note: Note) -> None:
+    def _count_answer(self, process: FakeProcess, note: Note) -> None:
         if note.kind is not NoteKind.REQUEST_ENDED:
             return
         if note.subject == AttemptOutcome.ANSWERED.name:
             ratio = process.instance.settings.retry_ratio
-            self.tally.note_answered((id(process), note.request), ratio)
+            self.retry_tally.count_answered((id(process), note.request), ratio)
 
 
 @dataclass
-class RetryingWorld:
-    """Instances whose callers and upstreams the tests direct."""
+class RetryWorld:
+    """A simulated fleet whose load and upstreams are set by the tests."""
 
     world: World
-    """Where they are."""
+    """The simulation."""
 
-    tally: Tally
-    """What was sent again."""
+    retry_tally: RetryTally
+    """Retries and answers so far."""
 
     @classmethod
-    def begin(
+    def start_settled(
         cls,
         entries: int,
         *,
@@ -130,8 +134,8 @@
         slots: int = 8,
         service_time: float = 0.02,
         seed: int = 1,
-    ) -> 'RetryingWorld':
-        """A world with so many instances in each region, settled."""
+    ) -> 'RetryWorld':
+        """Start ``entries`` instances in each region and let them settle."""
         plan = WorldPlan(
             _bundle(seats or entries, max(slots, seats or entries)),
             CoreSettings(),
@@ -143,83 +147,83 @@
         runner = CountingRunner(world)
         world.runner = runner
         world.reader.world = world
-        world.run_until(_SETTLED)
-        return cls(world, runner.tally)
+        world.run_until(_SETTLING_S)
+        return cls(world, runner.retry_tally)
 
     @property
     def names(self) -> list[str]:
-        """Names of the instances, in an order that changes regions."""
+        """Names of the instances, in an order that alternates regions."""
         return sorted(self.world.processes, key=lambda name: name[::-1])
 
     def send(self, entry: str, rate: float, seconds: float) -> None:
-        """Let callers send to one entry at a steady rate."""
+        """Send requests to one entry at a constant rate."""
         home = self.world.processes[entry].place.region
 
-        def ask() -> None:
+        def send_request() -> None:
             self.world.callers.request(SERVICE, home, entry=entry)
 
         for step in range(int(rate * seconds)):
-            self.world.clock.after((step + 0.5) / rate, ask)
+            self.world.clock.after((step + 0.5) / rate, send_request)
 
     def send_all(self, rate: float, seconds: float) -> None:
-        """Let callers send to all entries alike."""
+        """Send requests to each entry at a constant rate."""
         for name in self.names:
             self.send(name, rate, seconds)
 
     def shed(self, share: float) -> None:
-        """Let a share of the upstreams refuse what comes, as not run."""
-        fakes = list(self.world.upstreams.values())
-        for number, fake in enumerate(fakes):
-            fake.shed = number < share * len(fakes)
+        """Make a share of the upstreams refuse requests, as not run."""
+        upstreams = list(self.world.upstreams.values())
+        for number, upstream in enumerate(upstreams):
+            upstream.shed = number < share * len(upstreams)
 
-    def shed_in(self, region: str) -> None:
-        """Let the upstreams of one region refuse what comes, as not run."""
-        for fake in self.world.upstreams.values():
-            fake.shed = fake.upstream.zone.startswith(region)
+    def shed_in_region(self, region: str) -> None:
+        """Make the upstreams of a region refuse requests, as not run."""
+        for upstream in self.world.upstreams.values():
+            upstream.shed = upstream.upstream.zone.startswith(region)
 
     def slow_down(self, factor: float) -> None:
-        """Let the upstreams take so many times longer."""
-        for fake in self.world.upstreams.values():
-            fake.slow = factor
+        """Multiply the service times of the upstreams by a factor."""
+        for upstream in self.world.upstreams.values():
+            upstream.slow = factor
 
     def shed_at_random(self, share: float, seconds: float) -> None:
-        """Let each upstream refuse in a share of all short spans."""
-        gap = 0.02
+        """Make each upstream refuse in a random share of short intervals."""
+        interval = 0.02
 
-        def draw() -> None:
-            for fake in self.world.upstreams.values():
-                fake.shed = self.world.rng.random() < share
+        def choose_shedding() -> None:
+            for upstream in self.world.upstreams.values():
+                upstream.shed = self.world.rng.random() < share
 
-        for step in range(int(seconds / gap)):
-            self.world.clock.after(step * gap, draw)
+        for step in range(int(seconds / interval)):
+            self.world.clock.after(step * interval, choose_shedding)
         self.world.clock.after(seconds, partial(self.shed, 0))
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the time."""
         self.world.run_until(self.world.clock.now + seconds)
 
-    def cut_off(self, name: str) -> None:
-        """Cut an instance off from the others and from the store."""
+    def isolate(self, name: str) -> None:
+        """Disconnect an instance from all others and from the store."""
         self.world.network.cuts.update(
             frozenset((name, other)) for other in self.names if other != name
         )
         self.world.store.unreachable.add(name)
 
-    def join_again(self) -> None:
-        """End all cuts."""
+    def reconnect(self) -> None:
+        """Restore all connections."""
         self.world.network.cuts.clear()
         self.world.store.unreachable.clear()
 
     def change_seats(self, seats: int) -> None:
-        """Roll a bundle with so many seats in each region."""
+        """Roll out a bundle with another number of seats in each region."""
         self.world.roll(_bundle(seats, 8))
 
     def restart(self, name: str) -> None:
-        """Start an instance that has ended again under its name."""
+        """Restart a stopped instance under its name."""
         self.world.start(name, self.world.processes[name].place)
 
     def denied(self) -> int:
-        """Requests that were refused although they might be sent again."""
+        """Return the number of requests that were refused a retry."""
         return sum(
             one.code is ResultCode.UPSTREAM_SHED
             for one in self.world.log.outcomes.values()
--- a/tests/steering/limit_policies.py
+++ b/tests/steering/limit_policies.py
@@ -1,9 +1,9 @@
-"""Compares ways to keep limits that upstreams name: ``make policies``.
+"""Compare policies for limits that upstreams advertise: ``make policies``.
 
-Each way is played on the same loads with the same seeds; a tenth of the
-datagrams is lost.  A cell gives the most that an upstream got in 4 s over what
-its limit allows, the share of all limits that was used, and how many of the
-requests were served.
+Each policy is simulated in the same scenarios with the same seeds; a tenth of
+the datagrams is lost.  A cell gives the maximum number of requests to an
+upstream in 4 s, relative to what its limit allows, the used share of all
+limits, and how many of the requests were served.
 """
 
 import sys
@@ -14,10 +14,10 @@
 from typing import Final
 
 from tests.steering.limiting_world import (
-    STABLE,
+    GRACE_S,
     Demand,
     LimitingWorld,
-    allowed,
+    max_allowed,
 )
 from worksrail.core._rendezvous import rendezvous_weight
 from worksrail.core.limits import Members, TokenBucket
@@ -30,40 +30,40 @@
 _UPSTREAMS: Final = 12
 _KEYS: Final = 120
 _SEEDS: Final = (1, 2, 3)
-_SECONDS: Final = 12
+_MEASURED_S: Final = 12
 
 
 @dataclass(frozen=True, slots=True)
-class Load:
-    """What happens in a play."""
+class Scenario:
+    """Fleet, load and limits of a simulation."""
 
     zones: dict[str, int]
-    """Entries of each zone."""
+    """Number of entries in each zone."""
 
     asked: float
-    """Requests a second."""
+    """Requests per second."""
 
     limit: float
-    """Limit that is named."""
+    """Limit that upstreams advertise."""
 
     limited: int = _UPSTREAMS
-    """Upstreams that name it."""
+    """Number of upstreams that advertise it."""
 
     entries: tuple[str, ...] = ()
     """Entries that callers use; empty means all."""
 
 
-_LOADS: Final = {
-    '9 entries, 12 of 12 name 5': Load(_NINE, 150, 5),
-    '9 entries, 3 of 12 name 5': Load(_NINE, 150, 5, 3),
-    'the same, callers at one entry': Load(_NINE, 150, 5, 3, ('a1-0',)),
-    '60 entries, 3 of 12 name 0.5': Load(_SIXTY, 150, 0.5, 3),
-    '60 entries, 12 of 12 name 20': Load(_SIXTY, 300, 20),
+_SCENARIOS: Final = {
+    '9 entries, limit 5 at 12 of 12': Scenario(_NINE, 150, 5),
+    '9 entries, limit 5 at 3 of 12': Scenario(_NINE, 150, 5, 3),
+    'the same, callers at one entry': Scenario(_NINE, 150, 5, 3, ('a1-0',)),
+    '60 entries, limit 0.5 at 3 of 12': Scenario(_SIXTY, 150, 0.5, 3),
+    '60 entries, limit 20 at 12 of 12': Scenario(_SIXTY, 300, 20),
 }
 
 
-class _NothingKept(Pacer):
-    """As it was: no limit is read."""
+class _Unlimited(Pacer):
+    """Policy that ignores all limits."""
 
     def permission(self, upstream: str, now: float) -> Permission:
         """Grant everything."""
@@ -73,14 +73,17 @@
 
 
 @dataclass(slots=True)
-class _Buckets(Pacer):
-    """Each entry keeps some rate for itself, without a word."""
+class _FullLimitPerEntry(Pacer):
+    """Policy with a token bucket per entry, without messages between entries.
+
+    Each entry uses the full limit.
+    """
 
     buckets: dict[str, TokenBucket] = field(default_factory=dict)
     """Buckets by upstream."""
 
     def permission(self, upstream: str, now: float) -> Permission:
-        """Grant while the own bucket has a token."""
+        """Grant if the bucket of this entry has a token."""
         rate = self.limits.rate_of(upstream)
         if rate is None:
             return Permission.GRANTED
@@ -102,28 +105,31 @@
             self.buckets[upstream].spend(1, now)
 
     def share(self, upstream: str) -> float:
-        """Share of the rate that this entry takes."""
+        """Return the share of the limit that this entry uses."""
         return 1
 
     @property
     def others(self) -> Members:
-        """All entries that live."""
+        """All live entries."""
         return self.groups.get(ALL_REGIONS, Members({}, 1))
 
 
-class _EqualShares(_Buckets):
-    """Each entry takes an equal part."""
+class _EqualSharePerEntry(_FullLimitPerEntry):
+    """Policy in which each entry uses an equal share of the limit."""
 
     def share(self, upstream: str) -> float:
-        """One part of as many as there are entries."""
+        """Return an equal share for each entry."""
         return 1 / max(1, len(self.others.peers))
 
 
-class _FewSharers(_Buckets):
-    """A few entries share an upstream, the others leave it alone."""
+class _ThreeSharers(_FullLimitPerEntry):
+    """Policy in which three entries share the limit of an upstream.
+
+    The other entries send it no requests.
+    """
 
     def share(self, upstream: str) -> float:
-        """One part of three, for three entries."""
+        """Return a third for three entries, zero for the others."""
         chosen = sorted(
             self.others.peers,
             key=lambda entry: rendezvous_weight(upstream, entry),
@@ -131,92 +137,92 @@
         return 1 / len(chosen) if self.name in chosen else 0
 
 
-_WAYS: Final[dict[str, type[Pacer]]] = {
-    'no limit is read': _NothingKept,
-    'each entry keeps the limit': _Buckets,
-    'equal shares': _EqualShares,
-    'three sharers': _FewSharers,
+_POLICIES: Final[dict[str, type[Pacer]]] = {
+    'limits ignored': _Unlimited,
+    'full limit per entry': _FullLimitPerEntry,
+    'equal shares': _EqualSharePerEntry,
+    'three sharers': _ThreeSharers,
     'tokens of one issuer': Pacer,
 }
 
 
 class _World(LimitingWorld):
-    way: type[Pacer] = Pacer
+    policy: type[Pacer] = Pacer
 
     def start(self, name: str) -> None:
         super().start(name)
         rates = self.states[name].rates
         old = rates.named
-        rates.named = self.way(old.name, old.peer, old.region, old.region_of)
+        rates.named = self.policy(old.name, old.peer, old.region, old.region_of)
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What came of one play."""
+    """Result of a simulation."""
 
     excess: float
-    """Most in 4 s over what is allowed."""
+    """Maximum of requests in 4 s, relative to what the limit allows."""
 
     used: float
     """Share of the limits that was used."""
 
     served: int
-    """Requests with a success."""
+    """Number of successful requests."""
 
     asked: int
-    """All requests."""
+    """Number of requests."""
 
 
-def play(way: str, load_name: str, seed: int) -> Outcome:
-    """One play."""
-    load = _LOADS[load_name]
-    _World.way = _WAYS[way]
+def simulate(policy: str, scenario_name: str, seed: int) -> Outcome:
+    """Simulate a policy in a scenario."""
+    scenario = _SCENARIOS[scenario_name]
+    _World.policy = _POLICIES[policy]
     world = _World(
-        load.zones,
+        scenario.zones,
         _REGIONS,
         0.1,
         upstreams=_UPSTREAMS,
-        demand=Demand(load.asked, load.entries, _KEYS),
+        demand=Demand(scenario.asked, scenario.entries, _KEYS),
         seed=seed,
     )
-    names = world.names[: load.limited]
+    names = world.names[: scenario.limited]
     world.wait(2)
-    world.limit(load.limit, *names)
-    world.wait(STABLE)
+    world.set_limit(scenario.limit, *names)
+    world.wait(GRACE_S)
     begin, before = world.now, world.codes.copy()
-    world.wait(_SECONDS)
+    world.wait(_MEASURED_S)
     codes = world.codes - before
-    used = sum(world.reached(name, begin) for name in names)
+    used = sum(world.count_sends(name, begin) for name in names)
     return Outcome(
-        max(map(world.worst, names)) / allowed(load.limit),
-        used / (load.limit * len(names) * _SECONDS),
+        max(map(world.max_in_window, names)) / max_allowed(scenario.limit),
+        used / (scenario.limit * len(names) * _MEASURED_S),
         codes['OK'],
         codes.total(),
     )
 
 
 def table(processes: int) -> Iterator[str]:
-    """Lines of a Markdown table, a way a row."""
-    plays = list(product(_WAYS, _LOADS, _SEEDS))
+    """Yield the lines of a Markdown table with a row for each policy."""
+    runs = list(product(_POLICIES, _SCENARIOS, _SEEDS))
     with ProcessPoolExecutor(processes) as pool:
-        results = list(pool.map(play, *zip(*plays, strict=True)))
-    found = dict(zip(plays, results, strict=True))
-    yield f'| way | {" | ".join(_LOADS)} |'
-    yield '|---' * (len(_LOADS) + 1) + '|'
-    for way in _WAYS:
+        results = list(pool.map(simulate, *zip(*runs, strict=True)))
+    results_by_run = dict(zip(runs, results, strict=True))
+    yield f'| policy | {" | ".join(_SCENARIOS)} |'
+    yield '|---' * (len(_SCENARIOS) + 1) + '|'
+    for policy in _POLICIES:
         cells = [
-            _cell([found[way, load, seed] for seed in _SEEDS])
-            for load in _LOADS
+            _cell([results_by_run[policy, scenario, seed] for seed in _SEEDS])
+            for scenario in _SCENARIOS
         ]
-        yield f'| {way} | {" | ".join(cells)} |'
+        yield f'| {policy} | {" | ".join(cells)} |'
 
 
-def _cell(plays: list[Outcome]) -> str:
-    worst = max(one.excess for one in plays)
-    used = sum(one.used for one in plays) / len(plays)
-    served = sum(one.served for one in plays)
-    asked = sum(one.asked for one in plays)
-    return f'{worst:.2f}; {used:.2f}; {served} of {asked}'
+def _cell(runs: list[Outcome]) -> str:
+    excess = max(one.excess for one in runs)
+    used = sum(one.used for one in runs) / len(runs)
+    served = sum(one.served for one in runs)
+    asked = sum(one.asked for one in runs)
+    return f'{excess:.2f}; {used:.2f}; {served} of {asked}'
 
 
 def _main(processes: int) -> None:
--- a/tests/steering/limiting_world.py
+++ b/tests/steering/limiting_world.py
@@ -1,8 +1,8 @@
-"""A fleet of entries whose upstreams name rate limits in their answers.
+"""A fleet of entries whose upstreams advertise rate limits in their answers.
 
-Callers send requests to some of the entries or to all.  An upstream executes
-whatever reaches it and counts it; while it has a limit it names that with each
-answer, a refusal included.
+Callers send requests to all entries or to some of them.  An upstream executes
+and counts each request that it receives; while it has a limit, it advertises
+the limit with each answer, including refusals.
 """
 
 import random
@@ -35,27 +35,27 @@
     SteeredHead,
 )
 
-# Seconds of an execution, and for which callers wait.
-_WORK = 0.3
-_PATIENCE = 2.5
-# Seconds for which an upstream stays cold.
-_COLD_TIME = 20.0
+# Seconds that an execution takes, and that callers wait for an answer.
+_EXECUTION_S = 0.3
+_TIMEOUT_S = 2.5
+# Seconds for which an upstream remains cold.
+_COLD_TIME_S = 20.0
 _SLOTS = 60
-# What an upstream with a limit may get in a window of so many seconds: a
-# multiple of its limit, and some requests besides.
-WINDOW = 4.0
+# Requests that an upstream with a limit may get in a window of WINDOW_S
+# seconds: FACTOR times its limit, and EXTRA more.
+WINDOW_S = 4.0
 FACTOR = 1.5
 EXTRA = 5
-# Seconds after an upstream has named its limit from which it is to be kept.
-STABLE = 4.0
+# Seconds after an upstream first advertised a limit, from which it must hold.
+GRACE_S = 4.0
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """One request that reached an upstream."""
+    """A request that reached an upstream."""
 
     at: float
-    """When, by the world's clock."""
+    """When it was sent, by the clock of the simulation."""
 
     entry: str
     """Entry that sent it."""
@@ -72,40 +72,40 @@
 
 @dataclass(slots=True)
 class Demand:
-    """Who asks for how much."""
+    """Requests that callers send."""
 
     rate: float
-    """Requests a second, from all callers together."""
+    """Requests per second, from all callers together."""
 
     entries: Sequence[str] = ()
     """Entries that the callers use; empty means all."""
 
     keys: int = 0
-    """Affinity keys among which requests are drawn; zero means none."""
+    """Number of affinity keys that requests are drawn from; zero for none."""
 
     urgent: float = 0
-    """Share of the requests that come on a more urgent route."""
+    """Share of the requests on the route with the higher priority."""
 
     cold_rate: float = 0
-    """Requests a second that a cold upstream takes."""
+    """Requests per second that a cold upstream accepts."""
 
-    lost: float = 0
-    """Share of the answers whose connection breaks instead."""
+    broken: float = 0
+    """Share of the attempts whose connection breaks before the answer."""
 
 
 @dataclass(slots=True)
-class Limits:
-    """What upstreams name."""
+class AdvertisedLimits:
+    """Rate limits that upstreams advertise."""
 
     rates: dict[str, float] = field(default_factory=dict)
     """Limits in force, by upstream."""
 
-    named_at: dict[str, float] = field(default_factory=dict)
-    """When an upstream first named one to anybody."""
+    advertised_at: dict[str, float] = field(default_factory=dict)
+    """When an upstream first advertised a limit in an answer."""
 
 
 class LimitingWorld(FleetWorld):
-    """Entries, upstreams that name limits, and callers."""
+    """Entries, upstreams that advertise limits, and callers."""
 
     def __init__(
         self,
@@ -118,33 +118,33 @@
         demand: Demand | None = None,
         seed: int = 1,
     ) -> None:
-        """Start entries and upstreams, and let the entries find each other."""
+        """Start entries and upstreams, and let the entries discover peers."""
         self.names = [f'u{number}' for number in range(upstreams)]
         self.executing: list[_Execution] = []
         self.demand = Demand(0)
-        self.limiting = Limits()
-        self.draw = random.Random(seed)
+        self.advertised = AdvertisedLimits()
+        self.caller_rng = random.Random(seed)
         self.asked = 0
-        self.owed = 0.0
+        self.requests_due = 0.0
         self.sends: dict[str, list[Send]] = defaultdict(list)
         self.arrived_at: dict[tuple[str, int], float] = {}
         self.delays: list[float] = []
-        self.pauses: list[float] = []
+        self.retry_afters: list[float] = []
         self.codes: Counter[str] = Counter()
-        self.by_route: dict[str, Counter[str]] = defaultdict(Counter)
+        self.codes_by_route: dict[str, Counter[str]] = defaultdict(Counter)
         self.route_of: dict[tuple[str, int], str] = {}
         self.pacing_messages = 0
-        self.awaited: Counter[tuple[str, int]] = Counter()
+        self.token_waits: Counter[tuple[str, int]] = Counter()
         self.cold_rate = demand.cold_rate if demand else 0
         self.routes = (route(), route('urgent', priority=0))
         self.records = ()
         super().__init__(zones, regions, loss)
-        placed = sorted(zones)
+        zone_names = sorted(zones)
         self.records = tuple(
             upstream(
                 name,
                 address=f'{name}:80',
-                zone=placed[number % len(placed)],
+                zone=zone_names[number % len(zone_names)],
                 slots=slots,
             )
             for number, name in enumerate(self.names)
@@ -155,20 +155,20 @@
         self.demand = demand or Demand(0)
 
     def start(self, name: str) -> None:
-        """Start an entry, or start it again; its requests break."""
+        """Start or restart an entry; a restart loses its requests."""
         super().start(name)
         self.executing = [one for one in self.executing if one.entry != name]
         if self.records:
             self.deliver_store(name, 1, self.records)
 
-    def limit(self, rate: float, *names: str) -> None:
-        """Let some upstreams name a limit, or another one."""
-        self.limiting.rates.update(dict.fromkeys(names, rate))
+    def set_limit(self, rate: float, *names: str) -> None:
+        """Set the limit that some upstreams advertise."""
+        self.advertised.rates.update(dict.fromkeys(names, rate))
 
     def make_cold(self, name: str) -> None:
-        """Let the store list an upstream as cold again."""
+        """Mark an upstream as cold in the store."""
         self.records = tuple(
-            replace(record, cold_time=_COLD_TIME, sequence=2)
+            replace(record, cold_time=_COLD_TIME_S, sequence=2)
             if record.name == name
             else record
             for record in self.records
@@ -176,42 +176,42 @@
         for entry in self.states:
             self.deliver_store(entry, 2, self.records)
 
-    def unlimit(self, *names: str) -> None:
-        """Let some upstreams name no limit any more."""
+    def remove_limit(self, *names: str) -> None:
+        """Make some upstreams stop advertising a limit."""
         for name in names:
-            self.limiting.rates.pop(name)
+            self.advertised.rates.pop(name)
 
-    def worst(self, name: str, since: float = 0) -> int:
-        """Most requests that reached an upstream in one window.
+    def max_in_window(self, name: str, since: float = 0) -> int:
+        """Return the maximum number of requests to an upstream in a window.
 
-        Windows count from when its limit is to be kept.
+        Only windows in which its limit must hold are considered.
         """
-        named_at = self.limiting.named_at.get(name, self.now)
-        begin = max(since, named_at + STABLE)
+        advertised_at = self.advertised.advertised_at.get(name, self.now)
+        begin = max(since, advertised_at + GRACE_S)
         times = [one.at for one in self.sends[name] if one.at >= begin]
-        most = first = 0
+        maximum = first = 0
         for last, at in enumerate(times):
-            while at - times[first] > WINDOW:
+            while at - times[first] > WINDOW_S:
                 first += 1
-            most = max(most, last + 1 - first)
-        return most
+            maximum = max(maximum, last + 1 - first)
+        return maximum
 
-    def rates_of(self, name: str) -> set[float | None]:
-        """What entries believe of an upstream's limit."""
+    def known_rates(self, name: str) -> set[float | None]:
+        """Return the limits of an upstream that the entries know."""
         states = self.states.values()
         return {state.rates.named.rate_of(name) for state in states}
 
-    def reached(self, name: str, since: float, until: float = 0) -> int:
-        """Requests that reached an upstream in some time."""
+    def count_sends(self, name: str, since: float, until: float = 0) -> int:
+        """Return the number of requests to an upstream in a span of time."""
         end = until or self.now
         return sum(since < one.at <= end for one in self.sends[name])
 
     def wait(self, seconds: float) -> None:
-        """Let time pass; callers come."""
+        """Advance the time while callers send requests."""
         for _ in range(round(seconds / STEP)):
             super().wait(STEP)
-            self._execute()
-            self._let_callers_come()
+            self._finish_executions()
+            self._send_due_requests()
 
     def _perform(self, name: str, effects: list[Effect]) -> None:
         super()._perform(name, effects)
@@ -224,16 +224,16 @@
                     send.request,
                     send.attempt,
                     send.upstream,
-                    self.now + _WORK,
+                    self.now + _EXECUTION_S,
                 )
             )
         for one in of_type(effects, Decision):
             if one.kind is DecisionKind.TOKEN_AWAITED:
-                self.awaited[name, one.request] += 1
+                self.token_waits[name, one.request] += 1
         for answer in of_type(effects, AnswerResult):
             self._count(name, answer.request, answer.code.name)
             self.delays.append(self.now - self.arrived_at[name, answer.request])
-            self.pauses.append(answer.retry_after)
+            self.retry_afters.append(answer.retry_after)
 
     def _post(
         self,
@@ -241,7 +241,7 @@
         receiver: str,
         message: Digest | PacingMessage,
     ) -> None:
-        """Messages about tokens come at once within a region."""
+        """Deliver token messages within a region without delay."""
         target = receiver.partition(':')[0]
         near = self._region_of(name) == self._region_of(target)
         if isinstance(message, TokenRequest | TokenGrant):
@@ -259,19 +259,19 @@
 
     def _count(self, entry: str, request: int, code: str) -> None:
         self.codes[code] += 1
-        self.by_route[self.route_of[entry, request]][code] += 1
+        self.codes_by_route[self.route_of[entry, request]][code] += 1
 
-    def _execute(self) -> None:
-        done = [one for one in self.executing if one.ends_at <= self.now]
+    def _finish_executions(self) -> None:
+        finished = [one for one in self.executing if one.ends_at <= self.now]
         self.executing = [
             one for one in self.executing if one.ends_at > self.now
         ]
-        for one in done:
+        for one in finished:
             if one.entry in self.states and one.entry not in self.frozen:
-                self._end(one)
+                self._answer(one)
 
-    def _end(self, one: _Execution) -> None:
-        if self.draw.random() < self.demand.lost:
+    def _answer(self, one: _Execution) -> None:
+        if self.caller_rng.random() < self.demand.broken:
             self._run(
                 one.entry,
                 AttemptEnded(
@@ -282,9 +282,9 @@
                 ),
             )
             return
-        rate = self.limiting.rates.get(one.upstream, NoRate.NOT_NAMED)
+        rate = self.advertised.rates.get(one.upstream, NoRate.NOT_NAMED)
         if rate is not NoRate.NOT_NAMED:
-            self.limiting.named_at.setdefault(one.upstream, self.now)
+            self.advertised.advertised_at.setdefault(one.upstream, self.now)
         self._count(one.entry, one.request, 'OK')
         self._run(
             one.entry,
@@ -298,32 +298,32 @@
             ),
         )
 
-    def _let_callers_come(self) -> None:
-        self.owed += self.demand.rate * STEP
-        while self.owed >= 1:
-            self.owed -= 1
-            self._ask()
+    def _send_due_requests(self) -> None:
+        self.requests_due += self.demand.rate * STEP
+        while self.requests_due >= 1:
+            self.requests_due -= 1
+            self._send_request()
 
-    def _ask(self) -> None:
-        used = self.demand.entries or sorted(self.states)
-        running = [name for name in used if name in self.states]
-        entry = self.draw.choice(running)
+    def _send_request(self) -> None:
+        entries = self.demand.entries or sorted(self.states)
+        running = [name for name in entries if name in self.states]
+        entry = self.caller_rng.choice(running)
         if entry in self.frozen:
             return
         self.asked += 1
         key = ''
         if self.demand.keys:
-            key = str(self.draw.randrange(self.demand.keys))
-        urgent = self.draw.random() < self.demand.urgent
+            key = str(self.caller_rng.randrange(self.demand.keys))
+        urgent = self.caller_rng.random() < self.demand.urgent
         name = 'urgent' if urgent else 'read'
         self.route_of[entry, self.asked] = name
         head = SteeredHead(
-            f't{self.asked}', HOST, 'GET', f'/{name}/x', _PATIENCE, key
+            f't{self.asked}', HOST, 'GET', f'/{name}/x', _TIMEOUT_S, key
         )
         self.arrived_at[entry, self.asked] = self.now
         self._run(entry, RequestArrived(self.now, self.asked, head))
 
 
-def allowed(rate: float) -> float:
-    """Most requests that a limit allows in one window."""
-    return rate * FACTOR * WINDOW + EXTRA
+def max_allowed(rate: float) -> float:
+    """Return the maximum number of requests in a window under a limit."""
+    return rate * FACTOR * WINDOW_S + EXTRA
--- a/tests/steering/test_named_limits.py
+++ b/tests/steering/test_named_limits.py
@@ -1,4 +1,4 @@
-"""Upstreams that name rate limits, over whole fleets."""
+"""Upstreams that advertise rate limits, in whole fleets."""
 
 from typing import Any
 
@@ -7,11 +7,11 @@
 from tests.steering.limiting_world import (
     EXTRA,
     FACTOR,
-    STABLE,
-    WINDOW,
+    GRACE_S,
+    WINDOW_S,
     Demand,
     LimitingWorld,
-    allowed,
+    max_allowed,
 )
 from tests.steering.world import World, route, upstream
 from worksrail.core.limits import Members
@@ -35,28 +35,28 @@
 _NINE = {'a1': 2, 'a2': 1, 'b1': 2, 'b2': 1, 'c1': 2, 'c2': 1}
 _SIXTY = dict.fromkeys(_ZONES, 10)
 _HUNDREDS = dict.fromkeys(_ZONES, 50)
-_ALL = [f'u{number}' for number in range(12)]
-# Share of a limit that is to be used while callers ask for more.
-_USED_SHARE = 0.8
-# Seconds that a request may wait for tokens: the way to another region and back
-# takes two steps of this world, and it may ask for two.
-_TOKEN_WAIT = 0.2 + 1e-6
-# Share of the requests that may be refused where limits leave enough room.
-_HARDLY_ANY = 0.012
-# Tokens that one request may wait for.
-_MOST_ASKED = 3
-# Share of the refusals and sends that wait for nothing.
-_AT_ONCE = 0.9
-
-# Entries in each zone, share of the datagrams that are lost, requests a second
-# of all callers, limit, upstreams that name it.
+_UPSTREAMS = [f'u{number}' for number in range(12)]
+# Minimum share of a limit that is used while the demand exceeds it.
+_MIN_USED_SHARE = 0.8
+# Maximum seconds that a request waits for tokens: a round trip to another
+# region takes two steps of the simulation, and it may request two tokens.
+_MAX_TOKEN_WAIT_S = 0.2 + 1e-6
+# Maximum share of the requests that is refused if limits exceed the demand.
+_MAX_REFUSED_SHARE = 0.012
+# Maximum number of tokens that a request may wait for.
+_MAX_TOKEN_REQUESTS = 3
+# Minimum share of the refusals and sends that occur without a wait.
+_MIN_IMMEDIATE_SHARE = 0.9
+
+# Entries in each zone, share of datagrams lost, requests per second of all
+# callers, limit, upstreams that advertise it.
 _LIMITED = (
     pytest.param(_THREE, 0.0, 300, 5, ['u0'], id='3-one-of-12'),
-    pytest.param(_THREE, 0.1, 300, 5, _ALL, id='3-all'),
+    pytest.param(_THREE, 0.1, 300, 5, _UPSTREAMS, id='3-all'),
     pytest.param(_NINE, 0.0, 300, 0.5, ['u0', 'u1'], id='9-low'),
-    pytest.param(_NINE, 0.1, 300, 5, _ALL, id='9-all'),
+    pytest.param(_NINE, 0.1, 300, 5, _UPSTREAMS, id='9-all'),
     pytest.param(_NINE, 0.1, 1800, 50, ['u0', 'u4'], id='9-high'),
-    pytest.param(_SIXTY, 0.1, 300, 0.5, _ALL, id='60-low-all'),
+    pytest.param(_SIXTY, 0.1, 300, 0.5, _UPSTREAMS, id='60-low-all'),
     pytest.param(_SIXTY, 0.1, 300, 5, ['u0', 'u5'], id='60-two-of-12'),
     pytest.param(_HUNDREDS, 0.1, 300, 0.5, ['u0', 'u5'], id='300-low'),
 )
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize(('zones', 'loss', 'asked', 'limit', 'names'), _LIMITED)
-def test_upstream_gets_no_more_than_its_named_limit_allows(
+def test_upstream_gets_no_more_than_its_limit(
     zones: dict[str, int],
     loss: float,
     asked: float,
@@ -82,13 +82,13 @@
 ) -> None:
     world = _world(zones, loss, asked)
     world.wait(1)
-    world.limit(limit, *names)
-    world.wait(STABLE + 7)
-    assert max(map(world.worst, names)) <= allowed(limit)
+    world.set_limit(limit, *names)
+    world.wait(GRACE_S + 7)
+    assert max(map(world.max_in_window, names)) <= max_allowed(limit)
 
 
-# Limit, entries that callers use at first and later; empty means all.
-_USED = (
+# Limit, entries that callers use first and later; empty means all.
+_CALLER_ENTRIES = (
     pytest.param(5, ['a1-0'], ['a1-0'], id='one-entry'),
     pytest.param(5, [], [], id='all-entries'),
     pytest.param(5, ['a1-0'], ['c2-0'], id='demand-moves'),
@@ -98,199 +98,205 @@
 )
 
 
-@pytest.mark.parametrize(('limit', 'first', 'later'), _USED)
+@pytest.mark.parametrize(('limit', 'first', 'later'), _CALLER_ENTRIES)
 @pytest.mark.parametrize('keys', [0, 240])
-def test_named_limit_is_used_wherever_callers_ask(
+def test_limit_is_used_whichever_entries_callers_use(
     limit: float,
     first: list[str],
     later: list[str],
     keys: int,
 ) -> None:
-    world = _world(_NINE, 0, 2.5 * limit * len(_ALL), entries=first, keys=keys)
-    world.limit(limit, *_ALL)
-    world.wait(STABLE + 2)
+    world = _world(
+        _NINE, 0, 2.5 * limit * len(_UPSTREAMS), entries=first, keys=keys
+    )
+    world.set_limit(limit, *_UPSTREAMS)
+    world.wait(GRACE_S + 2)
     world.demand.entries = later
     world.wait(2)
     begin = world.now
     world.wait(10)
-    used = sum(world.reached(name, begin) for name in _ALL)
-    assert used >= _USED_SHARE * limit * len(_ALL) * (world.now - begin)
+    used = sum(world.count_sends(name, begin) for name in _UPSTREAMS)
+    assert used >= _MIN_USED_SHARE * limit * len(_UPSTREAMS) * (
+        world.now - begin
+    )
 
 
 def test_entry_without_callers_holds_no_tokens() -> None:
     world = _world(_NINE, 0, 300, entries=['a1-0'])
-    world.limit(5, *_ALL)
-    world.wait(STABLE)
+    world.set_limit(5, *_UPSTREAMS)
+    world.wait(GRACE_S)
     world.demand.entries = ['c2-0']
     world.wait(1)
     stocks = world.states['a1-0'].rates.named.stocks.values()
     assert not sum(stock.tokens for stock in stocks)
 
 
-def test_upstream_that_names_a_limit_costs_callers_nothing() -> None:
+def test_limits_of_a_few_upstreams_cause_no_refusals() -> None:
     world = _world(_NINE, 0, 300)
-    world.limit(1, 'u0', 'u1', 'u2')
+    world.set_limit(1, 'u0', 'u1', 'u2')
     world.wait(10)
     assert set(world.codes) == {'OK'}
-    assert max(world.delays) <= _TOKEN_WAIT
+    assert max(world.delays) <= _MAX_TOKEN_WAIT_S
 
 
-def test_callers_are_refused_at_once_when_all_upstreams_are_limited() -> None:
+def test_callers_are_refused_at_once_if_all_upstreams_are_limited() -> None:
     world = _world(_NINE, 0, 600)
-    world.limit(2, *_ALL)
-    world.wait(STABLE)
+    world.set_limit(2, *_UPSTREAMS)
+    world.wait(GRACE_S)
     world.delays.clear()
-    world.pauses.clear()
+    world.retry_afters.clear()
     world.wait(8)
-    at_once = sum(delay == 0 for delay in world.delays)
-    assert at_once >= _AT_ONCE * len(world.delays)
-    assert max(world.delays) <= _TOKEN_WAIT
-    assert min(world.pauses) > 0
+    immediate = sum(delay == 0 for delay in world.delays)
+    assert immediate >= _MIN_IMMEDIATE_SHARE * len(world.delays)
+    assert max(world.delays) <= _MAX_TOKEN_WAIT_S
+    assert min(world.retry_afters) > 0
 
 
-def test_urgent_requests_get_the_tokens_that_are_scarce() -> None:
+def test_urgent_requests_get_scarce_tokens_first() -> None:
     world = _world(_NINE, 0, 600, urgent=0.1)
-    world.limit(2, *_ALL)
-    world.wait(STABLE + 8)
-    urgent = world.by_route['urgent']
-    usual = world.by_route['read']
-    assert urgent['OK'] / urgent.total() > 2 * usual['OK'] / usual.total()
+    world.set_limit(2, *_UPSTREAMS)
+    world.wait(GRACE_S + 8)
+    urgent = world.codes_by_route['urgent']
+    regular = world.codes_by_route['read']
+    assert urgent['OK'] / urgent.total() > 2 * regular['OK'] / regular.total()
 
 
-def test_limit_that_is_halved_each_second_is_kept() -> None:
+def test_limit_that_is_halved_each_second_holds() -> None:
     world = _world(_NINE, 0.1, 600)
     limits: list[tuple[float, float]] = []
     world.wait(1)
     for step in range(24):
         limit = 64 * 0.5 ** (step % 8)
-        world.limit(limit, 'u0')
+        world.set_limit(limit, 'u0')
         limits.append((world.now, limit))
         world.wait(1)
-    starts = [at for at, _ in limits if at >= limits[0][0] + STABLE]
+    starts = [at for at, _ in limits if at >= limits[0][0] + GRACE_S]
     for start in starts[:-4]:
         window = [limit for at, limit in limits if start - 1 <= at < start + 4]
-        most = FACTOR * sum(window) + EXTRA
-        assert world.reached('u0', start, start + WINDOW) <= most
+        maximum = FACTOR * sum(window) + EXTRA
+        assert world.count_sends('u0', start, start + WINDOW_S) <= maximum
 
 
 @pytest.mark.parametrize('limit', [0, 0.5, 5])
-def test_upstream_is_used_again_when_its_limit_ends(limit: float) -> None:
+def test_upstream_is_used_again_after_its_limit_ends(limit: float) -> None:
     world = _world(_NINE, 0.1, 300)
     world.wait(4)
-    usual = world.reached('u0', world.now - 4) / 4
-    world.limit(limit, 'u0')
+    regular = world.count_sends('u0', world.now - 4) / 4
+    world.set_limit(limit, 'u0')
     world.wait(10)
-    world.unlimit('u0')
+    world.remove_limit('u0')
     world.wait(4)
     begin = world.now
     world.wait(2)
-    assert world.reached('u0', begin) / 2 >= usual / 2
+    assert world.count_sends('u0', begin) / 2 >= regular / 2
     load = world.states['a1-0'].loads.of('u0')
     assert not load.ejected_until
     assert not load.failures
-    world.limit(limit, 'u0')
-    world.wait(STABLE)
+    world.set_limit(limit, 'u0')
+    world.wait(GRACE_S)
     begin = world.now
     world.wait(8)
-    assert world.worst('u0', begin) <= allowed(limit)
+    assert world.max_in_window('u0', begin) <= max_allowed(limit)
 
 
-def test_limit_is_kept_while_entries_restart_in_turn() -> None:
+def test_limit_holds_while_entries_restart_in_turn() -> None:
     world = _world(_NINE, 0.1, 300)
-    world.limit(2, 'u0', 'u1')
-    world.wait(STABLE + 1)
+    world.set_limit(2, 'u0', 'u1')
+    world.wait(GRACE_S + 1)
     begin = world.now
     for name in sorted(world.states):
         world.start(name)
         world.wait(1.5)
-    assert max(world.worst(name, begin) for name in ('u0', 'u1')) <= allowed(2)
+    assert max(
+        world.max_in_window(name, begin) for name in ('u0', 'u1')
+    ) <= max_allowed(2)
 
 
-def test_entries_that_all_restart_hear_of_limits_anew() -> None:
+def test_limit_holds_after_all_entries_restart() -> None:
     world = _world(_NINE, 0.1, 300)
-    world.limit(2, 'u0')
-    world.wait(STABLE + 1)
+    world.set_limit(2, 'u0')
+    world.wait(GRACE_S + 1)
     for name in sorted(world.states):
         world.start(name)
     world.wait(2)
     begin = world.now
     world.wait(8)
-    assert world.worst('u0', begin) <= allowed(2)
+    assert world.max_in_window('u0', begin) <= max_allowed(2)
 
 
-def test_zone_that_is_cut_off_keeps_to_its_share() -> None:
+def test_limit_holds_while_a_zone_is_disconnected() -> None:
     world = _world(_NINE, 0, 300)
-    world.limit(5, 'u0')
-    world.wait(STABLE + 1)
+    world.set_limit(5, 'u0')
+    world.wait(GRACE_S + 1)
     world.cut_off = {'a1-0', 'a1-1'}
     begin = world.now
     world.wait(10)
-    # Both sides issue tokens until they miss each other.
-    assert world.worst('u0', begin) <= allowed(5)
-    assert world.reached('u0', begin) >= _USED_SHARE * 5 * 10
+    # Both sides issue tokens until each detects that the other is missing.
+    assert world.max_in_window('u0', begin) <= max_allowed(5)
+    assert world.count_sends('u0', begin) >= _MIN_USED_SHARE * 5 * 10
 
 
-def test_repeats_count_against_a_named_limit() -> None:
-    world = _world(_NINE, 0, 300, lost=0.3)
-    world.limit(2, *_ALL)
-    world.wait(STABLE + 8)
-    assert max(map(world.worst, _ALL)) <= allowed(2)
+def test_retries_count_against_a_limit() -> None:
+    world = _world(_NINE, 0, 300, broken=0.3)
+    world.set_limit(2, *_UPSTREAMS)
+    world.wait(GRACE_S + 8)
+    assert max(map(world.max_in_window, _UPSTREAMS)) <= max_allowed(2)
     assert sum(world.codes.values())
 
 
-def test_cold_upstream_with_a_limit_keeps_to_both() -> None:
+def test_limit_holds_for_a_cold_upstream() -> None:
     world = _world(_NINE, 0, 300, cold_rate=3)
-    world.limit(1, 'u0')
-    world.wait(STABLE + 1)
+    world.set_limit(1, 'u0')
+    world.wait(GRACE_S + 1)
     world.make_cold('u0')
     begin = world.now
     world.wait(8)
-    assert world.worst('u0', begin) <= allowed(1)
+    assert world.max_in_window('u0', begin) <= max_allowed(1)
 
 
-def test_messages_for_tokens_are_bounded_by_requests() -> None:
+def test_token_messages_are_bounded_by_requests() -> None:
     world = _world(_NINE, 0, 600)
-    world.limit(2, *_ALL)
-    world.wait(STABLE)
+    world.set_limit(2, *_UPSTREAMS)
+    world.wait(GRACE_S)
     world.pacing_messages = 0
     asked = world.asked
     world.wait(5)
     assert world.pacing_messages <= 2 * (world.asked - asked)
 
 
-def test_request_asks_for_few_tokens_where_many_upstreams_are_limited() -> None:
+def test_request_waits_for_few_tokens_of_many_limited_upstreams() -> None:
     world = LimitingWorld(
         _NINE, _REGIONS, 0, upstreams=60, demand=Demand(300, (), 300)
     )
-    world.limit(0.5, *world.names)
+    world.set_limit(0.5, *world.names)
     world.wait(6)
-    assert world.awaited
-    assert max(world.awaited.values()) <= _MOST_ASKED
+    assert world.token_waits
+    assert max(world.token_waits.values()) <= _MAX_TOKEN_REQUESTS
 
 
 @pytest.mark.parametrize('restarts', [False, True])
-def test_entries_without_answers_hear_of_limits_and_of_their_ends(
+def test_entries_without_answers_receive_limits_and_their_ends(
     *,
     restarts: bool,
 ) -> None:
     world = _world(_NINE, 0.1, 100, entries=['a1-0'])
-    world.limit(5, 'u0')
-    # What has changed is told for two seconds only.
+    world.set_limit(5, 'u0')
+    # Changes are advertised for two seconds only.
     world.wait(5)
     if restarts:
         for name in sorted(set(world.states) - {'a1-0'}):
             world.start(name)
     world.wait(2)
-    assert world.rates_of('u0') == {5}
-    world.unlimit('u0')
+    assert world.known_rates('u0') == {5}
+    world.remove_limit('u0')
     world.wait(3)
-    assert world.rates_of('u0') == {None}
+    assert world.known_rates('u0') == {None}
 
 
-def test_entry_that_stood_still_uses_none_of_its_tokens() -> None:
+def test_paused_entry_drops_its_tokens() -> None:
     world = _world(_NINE, 0, 300)
-    world.limit(5, *_ALL)
-    world.wait(STABLE)
+    world.set_limit(5, *_UPSTREAMS)
+    world.wait(GRACE_S)
     states = world.states.values()
     state = next(one for one in states if one.rates.named.issuer.owned)
     reduce(state, Ticked(world.now + 2))
@@ -299,17 +305,17 @@
     assert not state.rates.named.issuer.owned
 
 
-def test_refused_callers_are_told_when_a_token_comes() -> None:
+def test_refusal_says_when_a_token_is_expected() -> None:
     world = _world(_NINE, 0, 300)
-    world.limit(0.5, *_ALL)
-    world.wait(STABLE + 4)
-    # A token of each upstream comes every other second.
-    assert max(world.pauses) > 1
+    world.set_limit(0.5, *_UPSTREAMS)
+    world.wait(GRACE_S + 4)
+    # Each upstream's tokens are issued at one every two seconds.
+    assert max(world.retry_afters) > 1
 
 
-def test_request_whose_caller_leaves_while_it_waits_is_not_sent() -> None:
+def test_waiting_request_of_a_disconnected_caller_is_not_sent() -> None:
     world = _world(_NINE, 0, 300)
-    world.limit(5, *_ALL)
+    world.set_limit(5, *_UPSTREAMS)
     waiting: list[tuple[str, int]] = []
     while not waiting:
         world.wait(0.05)
@@ -324,7 +330,7 @@
     assert world.codes['DEADLINE_EXPIRED'] == len(waiting)
 
 
-def test_token_goes_to_the_most_urgent_request_that_waits() -> None:
+def test_token_goes_to_the_most_urgent_waiting_request() -> None:
     world = World((route('read'), route('urgent', priority=0)), [upstream('u')])
     pacer = world.state.rates.named
     pacer.limits.note('u', NamedLimit(5, world.now))
@@ -338,7 +344,7 @@
     assert [len(world.sent(number)) for number in numbers] == [0, 1]
 
 
-def test_limits_above_what_callers_ask_for_refuse_hardly_anything() -> None:
+def test_limits_above_the_demand_cause_few_refusals() -> None:
     world = LimitingWorld(
         _NINE,
         _REGIONS,
@@ -348,15 +354,15 @@
         demand=Demand(430, (), 120),
     )
     world.wait(7)
-    world.limit(20, *world.names)
-    world.wait(STABLE)
+    world.set_limit(20, *world.names)
+    world.wait(GRACE_S)
     before = world.codes.copy()
     world.wait(10)
     codes = world.codes - before
-    assert codes.total() - codes['OK'] <= _HARDLY_ANY * codes.total()
+    assert codes.total() - codes['OK'] <= _MAX_REFUSED_SHARE * codes.total()
 
 
-def test_limit_of_an_upstream_that_is_gone_is_forgotten() -> None:
+def test_limit_of_a_removed_upstream_is_dropped() -> None:
     world = World((route('read'),), [upstream('u'), upstream('other')])
     pacer = world.state.rates.named
     pacer.limits.note('u', NamedLimit(5, world.now))
--- a/tests/test_bundle.py
+++ b/tests/test_bundle.py
@@ -1,4 +1,4 @@
-"""Bundles: every fault is named; digests; client blocks against a naive one."""
+"""Bundles: reported faults, digests, client blocks against a linear search."""
 
 import ipaddress
 
@@ -26,7 +26,7 @@
         'colour',
     ),
     'wrong type': ('answer_age: 1', 'answer_age: soon', 4, 'answer_age'),
-    'no such zone': (
+    'unknown zone': (
         'zone: north-a, slots: 4}\n      -',
         'zone: x, slots: 4}\n      -',
         14,
@@ -44,33 +44,38 @@
         14,
         'services.0.upstreams.0.address',
     ),
-    'same name': ('orders-2', 'orders-1', 15, 'services.0.upstreams.1.name'),
-    'no such region': ('region: north}', 'region: south}', 8, 'zones.0.region'),
+    'duplicate name': (
+        'orders-2',
+        'orders-1',
+        15,
+        'services.0.upstreams.1.name',
+    ),
+    'unknown region': ('region: north}', 'region: south}', 8, 'zones.0.region'),
     'bad format': ('worksrail/1', 'worksrail/9', 2, 'format'),
 }
 
 
 @pytest.mark.parametrize('case', _FAULTS)
-def test_faults_name_line_and_field(case: str) -> None:
+def test_faults_report_line_and_field(case: str) -> None:
     old, new, line, location = _FAULTS[case]
-    found = parse_bundle(SMALL_BUNDLE.replace(old, new, 1))
-    assert isinstance(found, BundleFaults)
+    result = parse_bundle(SMALL_BUNDLE.replace(old, new, 1))
+    assert isinstance(result, BundleFaults)
     assert (line, location) in {
-        (fault.line, fault.location) for fault in found.faults
+        (fault.line, fault.location) for fault in result.faults
     }
 
 
-def test_all_faults_are_named_at_once() -> None:
+def test_all_faults_are_reported_at_once() -> None:
     text = SMALL_BUNDLE.replace('slots: 4', 'slots: -1').replace(
         'deadline: 3', 'deadline: never'
     )
-    found = parse_bundle(text)
-    assert isinstance(found, BundleFaults)
-    assert len(found.faults) == 3
+    result = parse_bundle(text)
+    assert isinstance(result, BundleFaults)
+    assert len(result.faults) == 3
 
 
 @pytest.mark.parametrize('text', ['', '[1, 2', '{a: {b: c', '\x00', 'a: &a *a'])
-def test_anything_else_is_refused(text: str) -> None:
+def test_invalid_documents_are_refused(text: str) -> None:
     assert isinstance(parse_bundle(text), BundleFaults)
 
 
@@ -80,26 +85,26 @@
     return bundle
 
 
-def test_a_bundle_survives_its_chunks() -> None:
+def test_unpacking_restores_the_bundle() -> None:
     packed = pack_bundle(_bundle())
     assert unpack_bundle(packed.digest, packed.chunks.get) == _bundle()
 
 
-def test_changed_bytes_are_found() -> None:
+def test_corrupt_chunks_are_detected() -> None:
     packed = pack_bundle(_bundle())
     for digest, payload in packed.chunks.items():
-        spoiled = {**packed.chunks, digest: payload + b' '}
-        found = unpack_bundle(packed.digest, spoiled.get)
-        assert found is NoBundle.WRONG_DIGEST
+        corrupted = {**packed.chunks, digest: payload + b' '}
+        result = unpack_bundle(packed.digest, corrupted.get)
+        assert result is NoBundle.WRONG_DIGEST
 
 
-def test_missing_chunks_are_found() -> None:
+def test_missing_chunks_are_detected() -> None:
     packed = pack_bundle(_bundle())
     for digest in packed.chunks:
-        rest = {**packed.chunks}
-        rest.pop(digest)
-        found = unpack_bundle(packed.digest, rest.get)
-        assert found is NoBundle.MISSING_CHUNK
+        remaining = {**packed.chunks}
+        remaining.pop(digest)
+        result = unpack_bundle(packed.digest, remaining.get)
+        assert result is NoBundle.MISSING_CHUNK
 
 
 _networks = st.builds(
@@ -115,7 +120,7 @@
     st.lists(st.tuples(_networks, st.sampled_from('abc')), max_size=12),
     st.lists(st.integers(0, 2**32 - 1), max_size=8),
 )
-def test_blocks_agree_with_a_naive_search(
+def test_blocks_agree_with_a_linear_search(
     blocks: list[tuple[ipaddress.IPv4Network, str]],
     addresses: list[int],
 ) -> None:
@@ -128,16 +133,16 @@
     edges += [edge + 1 for edge in edges if edge < 2**32 - 1]
     for number in addresses + edges:
         address = ipaddress.ip_address(number)
-        assert index.zone_of(str(address)) == _naive(unique, address)
+        assert index.zone_of(str(address)) == _linear_search(unique, address)
 
 
-def _naive(
+def _linear_search(
     blocks: dict[str, str],
     address: ipaddress.IPv4Address | ipaddress.IPv6Address,
 ) -> str | NoZone:
-    holding = [
+    containing = [
         (ipaddress.ip_network(block).prefixlen, zone)
         for block, zone in blocks.items()
         if address in ipaddress.ip_network(block)
     ]
-    return max(holding)[1] if holding else NoZone.UNMAPPED
+    return max(containing)[1] if containing else NoZone.UNMAPPED
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""Requests under which upstreams crash, with upstreams named in a bundle."""
+"""Requests that crash upstreams, with the upstreams of a bundle."""
 
 import pytest
 
@@ -17,19 +17,19 @@
 _FAULTY = '/faulty'
 _ZONES = {'north-a': 'north', 'south-a': 'south'}
 _SLOTS = 4
-_SETTLED = 8.0
-_STEP = 0.05
-# Seconds after which the caller of the faulty request comes back.
-_RETURN_AFTER = 0.2
-# Upstreams after which a request is known to crash them; seconds after that from
-# which few more may get it, and how many may.
-_PROOFS = 3
-_STABLE_WINDOW = 4.0
-_MOST_AFTER = 3
-# Share of the requests beside a crashing one that may be held, and that have to
-# be served.
-_MOST_HELD = 0.05
-_SERVED = 0.95
+_SETTLING_S = 8.0
+_STEP_S = 0.05
+# Seconds after which the caller of the faulty request retries.
+_CALLER_RETRY_S = 0.2
+# Crashes after which a request is held; seconds after that from which the
+# number of crashes is limited; maximum number of crashes from then on.
+_CRASHES_TO_HOLD = 3
+_GRACE_S = 4.0
+_MAX_LATER_CRASHES = 3
+# Maximum share of unrelated requests that are held, and minimum share of them
+# that are served.
+_MAX_HELD_SHARE = 0.05
+_MIN_SERVED_SHARE = 0.95
 
 
 def _bundle(upstreams: int) -> Bundle:
@@ -73,7 +73,7 @@
         seed=seed,
     )
     world = World.from_plan(plan)
-    world.run_until(_SETTLED)
+    world.run_until(_SETTLING_S)
     world.crashing.add(_FAULTY)
     return world
 
@@ -84,64 +84,70 @@
     )
 
 
-def _play(world: World, seconds: float) -> list[Outcome]:
-    """Let a faulty request come again and again; what became of it."""
+def _repeat_faulty_request(world: World, seconds: float) -> list[Outcome]:
+    """Send a faulty request repeatedly; return its outcomes."""
     end = world.clock.now + seconds
     world.load(Traffic('orders', 'north', 20, end))
-    asked = [_ask(world)]
+    asked = [_send_faulty_request(world)]
     while world.clock.now < end:
-        world.run_until(world.clock.now + _STEP)
-        over = asked[-1].ended_at
-        if over is not None and world.clock.now - over >= _RETURN_AFTER:
-            asked.append(_ask(world))
+        world.run_until(world.clock.now + _STEP_S)
+        ended_at = asked[-1].ended_at
+        if (
+            ended_at is not None
+            and world.clock.now - ended_at >= _CALLER_RETRY_S
+        ):
+            asked.append(_send_faulty_request(world))
     return asked
 
 
-def _ask(world: World) -> Outcome:
+def _send_faulty_request(world: World) -> Outcome:
     return world.callers.request('orders', 'north', path=_FAULTY)
 
 
-# Entries of each region, upstreams, seed.
+# Entries in each region, upstreams, seed.
 _FLEETS = ((1, 6, 1), (3, 8, 2), (3, 24, 3))
 
 
 @pytest.mark.parametrize(('entries', 'upstreams', 'seed'), _FLEETS)
-def test_request_that_crashed_three_upstreams_reaches_few_more(
+def test_request_that_crashed_three_upstreams_crashes_few_more(
     entries: int,
     upstreams: int,
     seed: int,
 ) -> None:
     world = _world(entries, upstreams, seed)
-    _play(world, 20)
+    _repeat_faulty_request(world, 20)
     crashes = _crashes(world)
-    proved_at = crashes[_PROOFS - 1]
-    late = [at for at in crashes if at > proved_at + _STABLE_WINDOW]
-    assert len(late) <= _MOST_AFTER
+    held_from = crashes[_CRASHES_TO_HOLD - 1]
+    later = [at for at in crashes if at > held_from + _GRACE_S]
+    assert len(later) <= _MAX_LATER_CRASHES
 
 
-def test_held_request_is_refused_at_once_until_its_next_trial() -> None:
+def test_held_request_is_refused_at_once() -> None:
     held = [
         one
-        for one in _play(_world(3, 8, 1), 12)
+        for one in _repeat_faulty_request(_world(3, 8, 1), 12)
         if one.code is ResultCode.REQUEST_HELD
     ]
     assert held
     assert not [one for one in held if one.executions or not one.retry_after]
-    assert max(one.latency for one in held) < _STEP
+    assert max(one.latency for one in held) < _STEP_S
 
 
 @pytest.mark.parametrize('seed', [1, 2, 3])
-def test_requests_beside_a_crashing_one_are_served(seed: int) -> None:
+def test_other_requests_are_served(seed: int) -> None:
     world = _world(3, 24, seed)
-    faulty = {one.trace for one in _play(world, 20)}
+    faulty = {one.trace for one in _repeat_faulty_request(world, 20)}
     ended = [one for one in world.log.outcomes.values() if one.code]
-    sound = [one for one in ended if one.trace not in faulty]
-    held = [one for one in sound if one.code is ResultCode.REQUEST_HELD]
-    assert len(held) <= len(sound) * _MOST_HELD
-    assert sum(one.is_ok for one in sound) >= len(sound) * _SERVED
+    unrelated = [one for one in ended if one.trace not in faulty]
+    held = [one for one in unrelated if one.code is ResultCode.REQUEST_HELD]
+    assert len(held) <= len(unrelated) * _MAX_HELD_SHARE
+    assert (
+        sum(one.is_ok for one in unrelated)
+        >= len(unrelated) * _MIN_SERVED_SHARE
+    )
 
 
-def test_request_that_another_instance_holds_is_not_tried_elsewhere() -> None:
+def test_request_held_by_another_instance_is_not_retried() -> None:
     world = _world(3, 8, 1)
     process = world.live()[0]
     head = RequestHead('t', 'orders.example', 'GET', _FAULTY, '')
@@ -159,7 +165,7 @@
     assert not [one for one in effects if isinstance(one, SendUpstream)]
 
 
-def test_request_that_is_held_while_it_waits_is_not_sent() -> None:
+def test_request_held_while_it_is_queued_is_not_sent() -> None:
     world = _world(3, 8, 1)
     instance, now = world.live()[0].instance, world.clock.now
     head = RequestHead('t', 'orders.example', 'GET', _FAULTY, '')
@@ -169,7 +175,7 @@
     active.state, active.fingerprint = RequestState.WAITING, 7
     instance.requests[active.number] = active
     instance.service_state('orders').queue.put(QueuedRequest(999, now + 2))
-    for number in range(_PROOFS):
+    for number in range(_CRASHES_TO_HOLD):
         crash = Crash(str(number), instance.quarantine.begin(7, now))
         instance.quarantine.record_crash(7, crash, now)
     effects = list(dispatch_waiting(instance, 'orders', now))
--- a/tests/test_mutations.py
+++ b/tests/test_mutations.py
@@ -1,8 +1,8 @@
-"""Checks the checkers: each deliberate fault must be found.
+"""Mutation tests: the checks must detect each fault put into the code.
 
-A row names a small fault that is put into the code, and the scenario (or the
-permit machine) that has to notice it.  A row that passes unnoticed means
-that the promise is not really checked.
+A row names a small fault, how it is patched into the code, and the scenario
+or state machine that must detect it.  A fault that is not detected means that
+no check covers the guarantee that it breaks.
 """
 
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 from tests.fuzz.test_permits import PermitMachine
 from tests.test_permits import (
     check_late_grant,
-    check_lent_until_nothing_runs,
+    check_lent_until_no_request_runs,
 )
 from worksrail.bench.scenarios import Scenario, parse_scenarios, play
 from worksrail.core import (
@@ -46,7 +46,7 @@
     return lambda patch: patch.setattr(owner, name, fault)
 
 
-def _nothing(*unused: Any) -> Any:
+def _yield_nothing(*unused: Any) -> Any:
     yield from ()
 
 
@@ -64,7 +64,7 @@
     return True
 
 
-def _leave_at_once(instance: Any, now: float) -> Any:
+def _leave_without_waiting(instance: Any, now: float) -> Any:
     if instance.leaving and instance.leaving.exits:
         instance.leaving.done = True
         yield _on_time.ExitProcess()
@@ -77,36 +77,36 @@
     return HeadVerdict.KNOWN if same else HeadVerdict.FETCH
 
 
-def _ignore(*unused: Any) -> None:
+def _do_nothing(*unused: Any) -> None:
     """Do nothing."""
 
 
 _SCENARIO_FAULTS: dict[str, tuple[Patch, str]] = {
-    'a share grows before all have agreed': (
-        _set(_ledger, 'seats_share', _newest_share),
+    'a share grows while older splits are in force': (
+        _set(_ledger, 'smallest_share', _newest_share),
         'seats are added and taken away under load',
     ),
-    'a paused process goes on as before': (
-        _set(_on_time, 'rejoin_after_pause', _nothing),
+    'a paused process continues as holder of its seats': (
+        _set(_on_time, 'rejoin_after_pause', _yield_nothing),
         'a holder paused for longer than its lease does nothing as holder',
     ),
     'a seat is claimed without waiting': (
         _set(
             _seats.SeatManager,
-            '_pursued',
+            '_claim_step',
             lambda self, record, view: self._claimed(record),
         ),
         'a seat is not claimed while requests of its holder may run',
     ),
-    'keys are not remembered': (
+    'idempotency keys are not kept': (
         _set(KeyMemory, 'claim', lambda *unused: KeyState.FREE),
         'a write is sent again after a second and after ten',
     ),
-    'tickets bind nobody': (
+    'tickets bind requests to no instance': (
         _set(_on_requests, 'ticket_owner', lambda *unused: None),
         'the same key at two entries runs once',
     ),
-    'writes are repeated after their first byte': (
+    'writes are repeated after their first byte was sent': (
         _set(_admission, 'is_idempotent', lambda *unused: True),
         'upstreams break after executing: writes are not repeated',
     ),
@@ -117,72 +117,74 @@
         )[0],
         'a store restored to an older state takes nobody back',
     ),
-    'the rate may rise at once': (
+    'the rate may grow without limit': (
         _set(RiseLimit, 'allows', lambda *unused: True),
         'a surge leaves its region only under the shift caps',
     ),
-    'rate permits come back at once': (
+    'rate permits are released at once': (
         _set(_placing, '_RATE_WINDOW', 0.0),
         'a surge at one entry leaves its region only under the shift caps',
     ),
-    'caps are not held': (
+    'shift caps are ignored': (
         _set(_placing, '_cap_holds', lambda *unused: ()),
         'a surge leaves its region only under the shift caps',
     ),
-    'headroom is not kept': (
-        _set(_placing, '_headroom_refusal', _ignore),
+    'headroom is ignored': (
+        _set(_placing, '_headroom_refusal', _do_nothing),
         'two surges meet in a slow region and leave its headroom free',
     ),
-    'drained upstreams get work': (
+    'drained upstreams get requests': (
         lambda patch: (
-            patch.setattr(_on_configuration, 'refresh_ceilings', _ignore),
-            patch.setattr(_on_time, 'refresh_ceilings', _ignore),
+            patch.setattr(_on_configuration, 'refresh_ceilings', _do_nothing),
+            patch.setattr(_on_time, 'refresh_ceilings', _do_nothing),
         )[0],
         'a drained upstream gets no new work',
     ),
-    'a stop does not wait': (
-        _set(_on_time, '_leave', _leave_at_once),
+    'a stop does not wait for requests': (
+        _set(_on_time, '_leave', _leave_without_waiting),
         'a planned stop cuts nothing and hands its seat on',
     ),
-    'seats are not handed on': (
-        _set(_on_time, '_transfer_seats', _nothing),
+    'seats are not transferred at a stop': (
+        _set(_on_time, '_transfer_seats', _yield_nothing),
         'a region is replaced one by one while the store is down',
     ),
-    'isolation goes unnoticed': (
-        _set(_on_time, '_follow_isolation', _nothing),
+    'isolation is not detected': (
+        _set(_on_time, '_follow_isolation', _yield_nothing),
         'an entry that hears nobody lets its permits rest',
     ),
 }
 
 
 @pytest.mark.parametrize('case', _SCENARIO_FAULTS)
-def test_scenarios_notice(case: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_scenarios_detect_faults(
+    case: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     patch, title = _SCENARIO_FAULTS[case]
     scenario: Scenario = _SCENARIOS[title]
     patch(monkeypatch)
     assert play(scenario).faults
 
 
-def _from_now(
+def _borrow_from_now(
     self: Any, grant: Any, lender: Any, asked: float, now: float
 ) -> bool:
     return bool(_BORROW(self, grant, lender, now, now))
 
 
-def _short_loan(
+def _lend_for_half_the_time(
     self: Any, loan: Any, group: Any, count: int, now: float
 ) -> Any:
     lent = _NEW_LOAN(self, loan, group, count, now)
     if lent:
-        lent.until = now + self.loan_duration / 2
+        lent.ends_at = now + self.loan_duration / 2
     return lent
 
 
-def _repeatable(self: Any, grant: Any, sender: Any, now: float) -> Any:
-    ask = self.asks.get(grant.loan)
+def _accept_grant_again(self: Any, grant: Any, sender: Any, now: float) -> Any:
+    request = self.pending.get(grant.loan)
     answers = list(_ON_GRANT(self, grant, sender, now))
-    if ask is not None:
-        self.asks[grant.loan] = ask
+    if request is not None:
+        self.pending[grant.loan] = request
     return answers
 
 
@@ -195,8 +197,8 @@
 _ON_GRANT = _lending.Lending.on_grant
 
 _MACHINE_FAULTS: dict[str, Patch] = {
-    'a repeated grant is taken again': _set(
-        _lending.Lending, 'on_grant', _repeatable
+    'a duplicate grant is accepted again': _set(
+        _lending.Lending, 'on_grant', _accept_grant_again
     ),
     'an expired loan is used': _set(
         _ledger.BorrowedLoan, 'usable', _always_usable
@@ -205,7 +207,7 @@
 
 
 @pytest.mark.parametrize('case', _MACHINE_FAULTS)
-def test_the_permit_machine_notices(
+def test_permit_machine_detects_faults(
     case: str,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -224,19 +226,23 @@
         )
 
 
-def test_the_reducer_knows_every_event() -> None:
+def test_reducer_handles_every_event() -> None:
     assert len(reducer._HANDLERS) == 14
 
 
-def test_a_late_grant_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(_ledger.PermitLedger, 'borrow', _from_now)
+def test_use_of_a_late_grant_is_detected(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr(_ledger.PermitLedger, 'borrow', _borrow_from_now)
     with pytest.raises(AssertionError):
         check_late_grant()
 
 
-def test_a_forgetful_lender_is_noticed(
+def test_lender_that_ends_loans_early_is_detected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(_ledger.PermitLedger, '_new_loan', _short_loan)
+    monkeypatch.setattr(
+        _ledger.PermitLedger, '_new_loan', _lend_for_half_the_time
+    )
     with pytest.raises(AssertionError):
-        check_lent_until_nothing_runs()
+        check_lent_until_no_request_runs()
--- a/tests/test_named_limits.py
+++ b/tests/test_named_limits.py
@@ -1,4 +1,4 @@
-"""Upstreams that name rate limits, with upstreams named in a bundle."""
+"""Upstreams that advertise rate limits, with the upstreams of a bundle."""
 
 import pytest
 
@@ -12,10 +12,10 @@
 from worksrail.core.settings import CoreSettings
 
 _ZONES = {'north-a': 'north', 'south-a': 'south'}
-_SETTLED = 8.0
-_STABLE = 4.0
-_WINDOW = 4.0
-_USED_SHARE = 0.8
+_SETTLING_S = 8.0
+_GRACE_S = 4.0
+_WINDOW_S = 4.0
+_MIN_USED_SHARE = 0.8
 
 
 def _bundle(upstreams: int) -> Bundle:
@@ -59,33 +59,33 @@
         seed=3,
     )
     world = World.from_plan(plan)
-    world.run_until(_SETTLED)
+    world.run_until(_SETTLING_S)
     world.network.loss = loss
     return world
 
 
-def _limit(world: World, rate: float | None, *names: str) -> None:
+def _set_limit(world: World, rate: float | None, *names: str) -> None:
     for name in names or tuple(world.upstreams):
         world.upstreams[name].limit = rate
 
 
-def _play(world: World, seconds: float, rate: float = 100) -> None:
+def _run_load(world: World, seconds: float, rate: float = 100) -> None:
     end = world.clock.now + seconds
     for region in _ZONES.values():
         world.load(Traffic('orders', region, rate, end))
     world.run_until(end)
 
 
-def _allowed(limit: float) -> float:
-    return 1.5 * limit * _WINDOW + 5
+def _max_allowed(limit: float) -> float:
+    return 1.5 * limit * _WINDOW_S + 5
 
 
-def _worst(world: World, name: str, since: float) -> int:
+def _max_in_window(world: World, name: str, since: float) -> int:
     times = [at for at in world.upstreams[name].taken_at if at >= since]
     return max(
         (
-            sum(begin <= at <= begin + _WINDOW for at in times)
-            for begin in times
+            sum(start <= at <= start + _WINDOW_S for at in times)
+            for start in times
         ),
         default=0,
     )
@@ -94,69 +94,71 @@
 @pytest.mark.parametrize('limit', [0.5, 5])
 @pytest.mark.parametrize('entries', [1, 3])
 @pytest.mark.parametrize('loss', [0, 0.1])
-def test_upstream_gets_no_more_than_its_named_limit_allows(
+def test_upstream_gets_no_more_than_its_limit(
     limit: float,
     entries: int,
     loss: float,
 ) -> None:
     world = _world(entries, loss=loss)
     limited = ('orders-0', 'orders-3')
-    _limit(world, limit, *limited)
-    begin = world.clock.now
-    _play(world, _STABLE + 8)
+    _set_limit(world, limit, *limited)
+    start = world.clock.now
+    _run_load(world, _GRACE_S + 8)
     for name in limited:
-        assert _worst(world, name, begin + _STABLE) <= _allowed(limit)
+        assert _max_in_window(world, name, start + _GRACE_S) <= _max_allowed(
+            limit
+        )
     codes = {one.code for one in world.log.outcomes.values()}
     assert codes <= {ResultCode.OK, None}
 
 
-def test_named_limits_of_all_upstreams_are_used() -> None:
+def test_limits_of_all_upstreams_are_used() -> None:
     world = _world(3)
-    _limit(world, 5)
-    _play(world, _STABLE)
-    begin = world.clock.now
-    _play(world, 10)
+    _set_limit(world, 5)
+    _run_load(world, _GRACE_S)
+    start = world.clock.now
+    _run_load(world, 10)
     used = sum(
-        at >= begin for one in world.upstreams.values() for at in one.taken_at
+        at >= start for one in world.upstreams.values() for at in one.taken_at
     )
-    assert used >= _USED_SHARE * 5 * len(world.upstreams) * 10
+    assert used >= _MIN_USED_SHARE * 5 * len(world.upstreams) * 10
     codes = {one.code for one in world.log.outcomes.values()}
     assert ResultCode.UPSTREAMS_LIMITED in codes
 
 
-def test_upstream_is_used_again_when_its_limit_ends() -> None:
+def test_upstream_is_used_again_after_its_limit_ends() -> None:
     world = _world(3)
-    _play(world, 4)
+    _run_load(world, 4)
     usual = len(world.upstreams['orders-0'].taken_at) / 4
-    _limit(world, 1, 'orders-0')
-    _play(world, 8)
-    _limit(world, None, 'orders-0')
-    _play(world, 4)
-    begin = world.clock.now
-    _play(world, 3)
+    _set_limit(world, 1, 'orders-0')
+    _run_load(world, 8)
+    _set_limit(world, None, 'orders-0')
+    _run_load(world, 4)
+    start = world.clock.now
+    _run_load(world, 3)
     times = world.upstreams['orders-0'].taken_at
-    assert sum(at >= begin for at in times) / 3 >= usual / 2
+    assert sum(at >= start for at in times) / 3 >= usual / 2
 
 
-def test_instances_without_answers_hear_of_limits() -> None:
+def test_instances_without_answers_receive_limits() -> None:
     world = _world(3)
-    _limit(world, 5, 'orders-0')
+    _set_limit(world, 5, 'orders-0')
     end = world.clock.now + 4
     world.load(Traffic('orders', 'north', 100, end))
     world.run_until(end)
-    believed = {
+    known_rates = {
         process.instance.pacer.rate_of(key)
         for process in world.processes.values()
-        for key, (_, found) in _upstreams(process).items()
-        if found.name == 'orders-0'
+        for key, (_, record) in _upstreams(process).items()
+        if record.name == 'orders-0'
     }
-    assert believed == {5}
+    assert known_rates == {5}
 
 
-def test_instance_that_stood_still_uses_none_of_its_tokens() -> None:
+def test_paused_instance_drops_its_tokens() -> None:
     world = _world(3)
-    _limit(world, 5)
-    _play(world, 4)
+    _set_limit(world, 5)
+    _run_load(world, 4)
     instances = [one.instance for one in world.processes.values()]
     instance = next(one for one in instances if one.pacer.issuer.owned)
     pause = instance.settings.pause_limit + 1
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -1,4 +1,4 @@
-"""Single steps of lending whose order matters."""
+"""Lending of permits: late and duplicate grants, and the end of a loan."""
 
 from worksrail.core.identity import Incarnation
 from worksrail.core.messages import LoanGrant, LoanPart, LoanReturn
@@ -26,60 +26,60 @@
     return Lending(settings, ledger)
 
 
-def _asked(lending: Lending) -> int:
+def _request_loan(lending: Lending) -> int:
     lending.set_shortage(_GROUP, 1)
-    (ask,) = lending.request_loan(_GROUP, [Lender(_LENDER, 2)], now=0)
-    return ask.message.loan
+    (request,) = lending.request_loan(_GROUP, [Lender(_LENDER, 2)], now=0)
+    return request.message.loan
 
 
 def check_late_grant() -> None:
-    """A grant that comes after its time, counted from the ask, is useless."""
+    """A grant after the loan's duration, from the request on, is returned."""
     lending = _borrower()
     grant = LoanGrant(
-        _asked(lending), _GROUP, (LoanPart(_POOL, 2),), duration=2
+        _request_loan(lending), _GROUP, (LoanPart(_POOL, 2),), duration=2
     )
-    late = 2.5
-    answers = list(lending.on_grant(grant, _LENDER, now=late))
+    too_late = 2.5
+    answers = list(lending.on_grant(grant, _LENDER, now=too_late))
     assert [answer.message for answer in answers] == [
         LoanReturn(grant.loan, ())
     ]
-    assert lending.ledger.available(_POOL, late) == 0
+    assert lending.ledger.available(_POOL, too_late) == 0
 
 
-def test_a_late_grant_is_given_back() -> None:
+def test_late_grant_is_returned() -> None:
     check_late_grant()
 
 
-def test_a_grant_in_time_is_used_until_its_end() -> None:
+def test_timely_grant_is_used_until_it_expires() -> None:
     lending = _borrower()
     grant = LoanGrant(
-        _asked(lending), _GROUP, (LoanPart(_POOL, 2),), duration=2
+        _request_loan(lending), _GROUP, (LoanPart(_POOL, 2),), duration=2
     )
     assert not list(lending.on_grant(grant, _LENDER, now=0.1))
     assert lending.ledger.available(_POOL, 1.9) == 2
     assert lending.ledger.available(_POOL, 2.0) == 0
 
 
-def test_a_repeated_grant_is_not_taken_again() -> None:
+def test_duplicate_grant_is_ignored() -> None:
     lending = _borrower()
     grant = LoanGrant(
-        _asked(lending), _GROUP, (LoanPart(_POOL, 2),), duration=2
+        _request_loan(lending), _GROUP, (LoanPart(_POOL, 2),), duration=2
     )
     list(lending.on_grant(grant, _LENDER, now=0.1))
-    lending.ledger.give_back(grant.loan, 0.2)
+    lending.ledger.return_idle(grant.loan, 0.2)
     list(lending.on_grant(grant, _LENDER, now=0.3))
     assert lending.ledger.available(_POOL, 0.3) == 0
 
 
-def check_lent_until_nothing_runs() -> None:
-    """A lent permit is not used until no request can run on it any more."""
+def check_lent_until_no_request_runs() -> None:
+    """The lender uses a lent permit only after any request on it has ended."""
     settings = CoreSettings()
     ledger = PermitLedger(settings.loan_duration, settings.longest_run)
     ledger.configure(1, [PoolSpec(_POOL, _GROUP, 4, 1)])
     ledger.drop_splits_before(1)
     ledger.hold_seats([0])
-    loan = LoanId(_LENDER, 1)
-    ledger.lend(loan, _GROUP, 3, now=0)
+    loan_id = LoanId(_LENDER, 1)
+    ledger.lend(loan_id, _GROUP, 3, now=0)
     end = settings.loan_duration + settings.longest_run
     ledger.expire(end - 0.1)
     assert ledger.available(_POOL, end - 0.1) == 1
@@ -87,5 +87,5 @@
     assert ledger.available(_POOL, end) == 4
 
 
-def test_a_lent_permit_rests_until_nothing_runs() -> None:
-    check_lent_until_nothing_runs()
+def test_lent_permit_is_unused_until_no_request_runs() -> None:
+    check_lent_until_no_request_runs()
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -1,7 +1,8 @@
 """The retry budget of all instances together, with bundles.
 
-In any span, all instances together send again at most the ratio of what is
-answered in that span, and what may be saved up over all seats.
+In any span of time, all instances together send at most as many retries as
+the retry ratio times the answers of that span, plus the token capacity of
+all seats.
 """
 
 import random
@@ -10,7 +11,7 @@
 
 import pytest
 
-from tests.retrying import REGIONS, SERVICE, RetryingWorld
+from tests.retrying import REGIONS, SERVICE, RetryWorld
 from worksrail.core._retrying import reported_code
 from worksrail.core.events import CallerGone
 from worksrail.core.reducer import reduce
@@ -25,24 +26,24 @@
 from worksrail.core.settings import CoreSettings
 
 _SETTINGS: Final = CoreSettings()
-_STEP: Final = 0.05
+_STEP_S: Final = 0.05
 _ROUNDING: Final = 1e-6
-# Share of the wanted retries that are sent while fewer are wanted than earned.
-_USED: Final = 0.92
-# Share of the requests beside that which get an answer.
-_SERVED: Final = 0.99
+# Minimum share of failed requests that are retried, and minimum share of all
+# requests that are answered, if the budget would allow every retry.
+_MIN_RETRIED: Final = 0.92
+_MIN_SERVED: Final = 0.99
 
 _SHED: Final = ResultCode.UPSTREAM_SHED
 
-Story = Callable[[RetryingWorld], None]
+Scenario = Callable[[RetryWorld], None]
 
 
-def _allowed(entries: int) -> float:
-    """Retries that all instances may have saved up, one a seat at least."""
+def _max_tokens(entries: int) -> float:
+    """Return the token capacity of all seats, at least one for each seat."""
     return max(_SETTINGS.retry_burst, entries * len(REGIONS))
 
 
-def _all_at_once(fleet: RetryingWorld) -> None:
+def _burst_of_failures(fleet: RetryWorld) -> None:
     fleet.send_all(40, 4)
     fleet.run(4.5)
     fleet.shed(1)
@@ -50,7 +51,7 @@
     fleet.run(2)
 
 
-def _late(fleet: RetryingWorld) -> None:
+def _failures_under_load(fleet: RetryWorld) -> None:
     fleet.send_all(30, 12)
     fleet.run(8)
     fleet.shed(0.8)
@@ -59,7 +60,7 @@
     fleet.run(2)
 
 
-def _load_moves(fleet: RetryingWorld) -> None:
+def _load_moves_between_instances(fleet: RetryWorld) -> None:
     for name in fleet.names:
         fleet.send(name, 100, 2)
         fleet.run(1.7)
@@ -69,16 +70,16 @@
     fleet.run(2)
 
 
-def _region_is_full(fleet: RetryingWorld) -> None:
+def _full_region(fleet: RetryWorld) -> None:
     fleet.slow_down(5)
-    fleet.shed_in('south')
+    fleet.shed_in_region('south')
     north = [name for name in fleet.names if name.startswith('north')]
     for name in north:
         fleet.send(name, 800 / len(north), 4)
     fleet.run(6)
 
 
-def _stops(fleet: RetryingWorld) -> None:
+def _restarts(fleet: RetryWorld) -> None:
     for _ in range(3):
         for name in fleet.names[:5]:
             fleet.send_all(20, 1)
@@ -93,21 +94,21 @@
             fleet.run(3)
 
 
-def _cuts(fleet: RetryingWorld) -> None:
+def _partition(fleet: RetryWorld) -> None:
     fleet.send_all(30, 40)
     fleet.run(4)
     for name in fleet.names[:2]:
-        fleet.cut_off(name)
+        fleet.isolate(name)
     for seconds in (3, 30):
         fleet.run(seconds)
         fleet.shed(0.9)
         fleet.run(1)
         fleet.shed(0)
-    fleet.join_again()
+    fleet.reconnect()
     fleet.run(6)
 
 
-def _freezes(fleet: RetryingWorld) -> None:
+def _paused_instance(fleet: RetryWorld) -> None:
     fleet.send_all(30, 12)
     for seconds in (2, 5):
         fleet.run(2)
@@ -118,121 +119,127 @@
     fleet.run(8)
 
 
-def _loses_messages(fleet: RetryingWorld) -> None:
+def _message_loss(fleet: RetryWorld) -> None:
     fleet.world.network.loss = 0.1
-    _late(fleet)
-
-
-_STORIES: Final = (
-    _all_at_once,
-    _late,
-    _load_moves,
-    _region_is_full,
-    _stops,
-    _cuts,
-    _freezes,
-    _loses_messages,
+    _failures_under_load(fleet)
+
+
+_SCENARIOS: Final = (
+    _burst_of_failures,
+    _failures_under_load,
+    _load_moves_between_instances,
+    _full_region,
+    _restarts,
+    _partition,
+    _paused_instance,
+    _message_loss,
 )
 
 
 @pytest.mark.parametrize('entries', [1, 3])
-@pytest.mark.parametrize('story', _STORIES)
-def test_retries_of_all_instances_stay_in_the_budget(
-    story: Story,
+@pytest.mark.parametrize('scenario', _SCENARIOS)
+def test_retries_of_all_instances_stay_within_the_budget(
+    scenario: Scenario,
     entries: int,
 ) -> None:
-    fleet = RetryingWorld.begin(entries)
-    story(fleet)
-    assert fleet.tally.retries
-    assert fleet.tally.excess() <= _allowed(entries)
+    fleet = RetryWorld.start_settled(entries)
+    scenario(fleet)
+    assert fleet.retry_tally.retries
+    assert fleet.retry_tally.excess() <= _max_tokens(entries)
 
 
-@pytest.mark.parametrize('story', [_all_at_once, _late])
-def test_retries_of_a_large_fleet_stay_in_the_budget(story: Story) -> None:
-    fleet = RetryingWorld.begin(20, slots=40)
-    story(fleet)
-    assert fleet.tally.retries
-    assert fleet.tally.excess() <= _allowed(20)
+@pytest.mark.parametrize('scenario', [_burst_of_failures, _failures_under_load])
+def test_retries_of_a_large_fleet_stay_within_the_budget(
+    scenario: Scenario,
+) -> None:
+    fleet = RetryWorld.start_settled(20, slots=40)
+    scenario(fleet)
+    assert fleet.retry_tally.retries
+    assert fleet.retry_tally.excess() <= _max_tokens(20)
 
 
 def test_instances_beyond_the_seats_add_nothing_to_the_budget() -> None:
-    fleet = RetryingWorld.begin(5, seats=2)
-    _all_at_once(fleet)
-    assert fleet.tally.retries
-    assert fleet.tally.excess() <= _allowed(2)
+    fleet = RetryWorld.start_settled(5, seats=2)
+    _burst_of_failures(fleet)
+    assert fleet.retry_tally.retries
+    assert fleet.retry_tally.excess() <= _max_tokens(2)
 
 
 def test_fresh_instances_begin_with_an_empty_budget() -> None:
-    fleet = RetryingWorld.begin(3)
+    fleet = RetryWorld.start_settled(3)
     fleet.shed(1)
     fleet.send_all(30, 1)
     fleet.run(2)
-    assert not fleet.tally.retries
+    assert not fleet.retry_tally.retries
 
 
-def _saved(fleet: RetryingWorld) -> float:
-    """Retries that all instances could have saved up by now."""
+def _token_capacity(fleet: RetryWorld) -> float:
+    """Return the token capacity of all live instances."""
     budgets = [
         process.instance.retry_budget(SERVICE) for process in fleet.world.live()
     ]
-    return sum(one.each * len(one.seats) for one in budgets)
+    return sum(one.max_per_seat * len(one.seats) for one in budgets)
 
 
-def _most_saved(fleet: RetryingWorld, seconds: float) -> float:
-    most = 0.0
-    for _ in range(int(seconds / _STEP)):
-        fleet.run(_STEP)
-        most = max(most, _saved(fleet))
-    return most
+def _max_capacity(fleet: RetryWorld, seconds: float) -> float:
+    maximum = 0.0
+    for _ in range(int(seconds / _STEP_S)):
+        fleet.run(_STEP_S)
+        maximum = max(maximum, _token_capacity(fleet))
+    return maximum
 
 
 @pytest.mark.parametrize(('before', 'after'), [(3, 1), (1, 3), (3, 6)])
-@pytest.mark.parametrize('cut', [0, 2])
-def test_change_of_the_number_of_seats_adds_nothing(
+@pytest.mark.parametrize('disconnected', [0, 2])
+def test_change_of_the_number_of_seats_adds_no_capacity(
     before: int,
     after: int,
-    cut: int,
+    disconnected: int,
 ) -> None:
-    fleet = RetryingWorld.begin(3, seats=before)
-    most = max(_allowed(before), _allowed(after)) + _ROUNDING
+    fleet = RetryWorld.start_settled(3, seats=before)
+    maximum = max(_max_tokens(before), _max_tokens(after)) + _ROUNDING
     for name in fleet.names:
-        if name.endswith(tuple(str(1 + number) for number in range(cut))):
-            fleet.cut_off(name)
+        if name.endswith(
+            tuple(str(1 + number) for number in range(disconnected))
+        ):
+            fleet.isolate(name)
     fleet.change_seats(after)
-    assert _most_saved(fleet, 3.5) <= most
-    fleet.join_again()
-    assert _most_saved(fleet, 20) <= most
+    assert _max_capacity(fleet, 3.5) <= maximum
+    fleet.reconnect()
+    assert _max_capacity(fleet, 20) <= maximum
 
 
-def test_instance_that_is_cut_off_saves_nothing_on_seats_of_others() -> None:
-    fleet = RetryingWorld.begin(3)
-    fleet.cut_off(fleet.names[0])
+def test_disconnected_instance_gets_no_capacity_of_seats_of_others() -> None:
+    fleet = RetryWorld.start_settled(3)
+    fleet.isolate(fleet.names[0])
     fleet.world.store.hidden.add(fleet.names[0])
-    assert _most_saved(fleet, 60) <= _allowed(3) + _ROUNDING
-    fleet.join_again()
-    assert _most_saved(fleet, 60) <= _allowed(3) + _ROUNDING
-    assert _saved(fleet) >= _allowed(3) - _ROUNDING
+    assert _max_capacity(fleet, 60) <= _max_tokens(3) + _ROUNDING
+    fleet.reconnect()
+    assert _max_capacity(fleet, 60) <= _max_tokens(3) + _ROUNDING
+    assert _token_capacity(fleet) >= _max_tokens(3) - _ROUNDING
 
 
 @pytest.mark.parametrize('entries', [1, 3])
 @pytest.mark.parametrize('seed', [1, 2, 3])
-def test_retries_are_sent_while_the_budget_earns_them(
+def test_retries_are_sent_while_the_budget_allows_them(
     entries: int,
     seed: int,
 ) -> None:
-    fleet = RetryingWorld.begin(entries, seed=seed)
+    fleet = RetryWorld.start_settled(entries, seed=seed)
     fleet.send_all(40, 4)
     fleet.run(2)
     fleet.shed_at_random(0.08, 20)
     fleet.send_all(40, 20)
     fleet.run(24)
-    tally = fleet.tally
-    assert tally.retries >= _USED * (tally.retries + fleet.denied())
-    assert fleet.world.log.share(SERVICE) >= _SERVED
+    retry_tally = fleet.retry_tally
+    assert retry_tally.retries >= _MIN_RETRIED * (
+        retry_tally.retries + fleet.denied()
+    )
+    assert fleet.world.log.share(SERVICE) >= _MIN_SERVED
 
 
-def test_retry_that_is_not_earned_soon_is_refused_at_once() -> None:
-    fleet = RetryingWorld.begin(3)
+def test_retry_that_is_not_allowed_soon_is_refused_at_once() -> None:
+    fleet = RetryWorld.start_settled(3)
     fleet.send_all(40, 4)
     fleet.run(5)
     fleet.shed(1)
@@ -245,8 +252,8 @@
     assert sum(one > 0.05 for one in refused) < 0.1 * len(refused)
 
 
-def test_request_whose_caller_went_is_not_sent_again() -> None:
-    fleet = RetryingWorld.begin(1)
+def test_request_of_a_disconnected_caller_is_not_retried() -> None:
+    fleet = RetryWorld.start_settled(1)
     instance, now = fleet.world.live()[0].instance, fleet.world.clock.now
     head = RequestHead('t', 'orders.example', 'GET', '/', '')
     active = ActiveRequest(1, head, SERVICE, 'north', now + 2, idempotent=True)
@@ -259,17 +266,17 @@
     assert retries.pop() is None
 
 
-def _full(seats: dict[int, int], each: float) -> RetryBudget:
+def _full_budget(seats: dict[int, int], max_per_seat: float) -> RetryBudget:
     budget = RetryBudget(1)
-    budget.follow(seats, each)
+    budget.follow(seats, max_per_seat)
     for now in range(10):
         budget.record_success(now)
-    assert budget.tokens == each * len(seats)
+    assert budget.tokens == max_per_seat * len(seats)
     return budget
 
 
-# Seats held afterwards, and the retries that are left of six.
-_HANDED_ON: Final[tuple[tuple[dict[int, int], float, float], ...]] = (
+# Seats held afterwards, maximum per seat, and the tokens that remain of six.
+_SEAT_CHANGES: Final[tuple[tuple[dict[int, int], float, float], ...]] = (
     ({0: 1, 1: 1}, 3, 6),
     ({0: 1}, 3, 3),
     ({}, 3, 0),
@@ -280,19 +287,19 @@
 )
 
 
-@pytest.mark.parametrize(('seats', 'each', 'left'), _HANDED_ON)
-def test_saved_retries_stay_on_the_seats_that_stay(
+@pytest.mark.parametrize(('seats', 'max_per_seat', 'remaining'), _SEAT_CHANGES)
+def test_tokens_are_kept_for_the_seats_that_are_kept(
     seats: dict[int, int],
-    each: float,
-    left: float,
+    max_per_seat: float,
+    remaining: float,
 ) -> None:
-    budget = _full({0: 1, 1: 1}, 3)
-    budget.follow(seats, each)
-    assert budget.tokens == left
+    budget = _full_budget({0: 1, 1: 1}, 3)
+    budget.follow(seats, max_per_seat)
+    assert budget.tokens == remaining
 
 
 @pytest.mark.parametrize(
-    ('passing', 'failed_with', 'code', 'told'),
+    ('passing', 'failed_with', 'code', 'expected'),
     [
         (ArrivalPath.SHIFTED, _SHED, ResultCode.NO_SLOT, _SHED),
         (ArrivalPath.SHIFTED, None, ResultCode.NO_SLOT, ResultCode.NO_SLOT),
@@ -311,37 +318,37 @@
         ),
     ],
 )
-def test_whoever_passed_a_request_on_hears_that_an_upstream_had_it(
+def test_passing_instance_receives_the_failure_of_the_upstream(
     passing: ArrivalPath,
     failed_with: ResultCode | None,
     code: ResultCode,
-    told: ResultCode,
+    expected: ResultCode,
 ) -> None:
     head = RequestHead('t', 'orders.example', 'GET', '/', '', passing=passing)
     active = ActiveRequest(1, head, SERVICE, 'north', 3, idempotent=True)
     active.failed_with = failed_with
-    assert reported_code(active, code) is told
+    assert reported_code(active, code) is expected
 
 
-def _hand_on(
+def _transfer_seat(
     holders: list[dict[int, int]],
     rng: random.Random,
 ) -> None:
-    giver, taker = rng.sample(holders, 2)
-    if giver:
-        seat = rng.choice(sorted(giver))
-        taker[seat] = giver.pop(seat) + 1
+    old_holder, new_holder = rng.sample(holders, 2)
+    if old_holder:
+        seat = rng.choice(sorted(old_holder))
+        new_holder[seat] = old_holder.pop(seat) + 1
 
 
 @pytest.mark.parametrize('seed', range(20))
-def test_saved_retries_do_not_go_from_hand_to_hand(seed: int) -> None:
+def test_tokens_are_not_transferred_with_seats(seed: int) -> None:
     rng = random.Random(seed)
     holders: list[dict[int, int]] = [{0: 1, 1: 1}, {2: 1}, {}]
     budgets = [RetryBudget(0.1) for _ in holders]
-    worst = current = 0.0
+    largest = current = 0.0
     for now in range(4000):
         if rng.random() < 0.05:
-            _hand_on(holders, rng)
+            _transfer_seat(holders, rng)
         chosen = rng.randrange(len(holders))
         budget = budgets[chosen]
         budget.follow(holders[chosen], 2)
@@ -351,5 +358,5 @@
         else:
             current += budget.spend()
         current = max(0.0, current)
-        worst = max(worst, current)
-    assert worst <= 2 * 3
+        largest = max(largest, current)
+    assert largest <= 2 * 3
--- a/worksrail/core/bundle/__init__.py
+++ b/worksrail/core/bundle/__init__.py
@@ -1,4 +1,4 @@
-"""Bundles: the reviewed unit of configuration."""
+"""Bundles: the unit of configuration that operators review and roll out."""
 
 from worksrail.core.bundle._check import (
     MAX_BUNDLE_BYTES,
--- a/worksrail/core/bundle/_blocks.py
+++ b/worksrail/core/bundle/_blocks.py
@@ -1,4 +1,4 @@
-"""Client blocks in packed sorted arrays: from an address to a zone.
+"""An index from caller addresses to zones, in packed sorted arrays.
 
 Nested blocks are flattened into disjoint intervals when the index is built,
 so that a look-up is one binary search.  An IPv4 interval takes six bytes.
@@ -16,8 +16,8 @@
 from worksrail.core.bundle._model import ClientBlock
 from worksrail.core.identity import ZoneName
 
-_NO_ZONE: Final = 0
-_BITS: Final = {4: 32, 6: 128}
+_NO_ZONE_NUMBER: Final = 0
+_ADDRESS_BITS: Final = {4: 32, 6: 128}
 _Interval = tuple[int, int, int]
 
 
@@ -25,37 +25,37 @@
 class NoZone(Enum):
     """Sentinel: why an address has no zone."""
 
-    UNMAPPED = 'no client block holds the address'
-    NOT_AN_ADDRESS = 'the text is no IP address'
+    UNMAPPED = 'no client block contains the address'
+    NOT_AN_ADDRESS = 'the text is not an IP address'
 
 
 @dataclass(slots=True)
-class _Family:
-    """Disjoint intervals of one address family, by their starts."""
+class _AddressFamily:
+    """Disjoint intervals of one address family, sorted by their starts."""
 
     starts: Sequence[int] = ()
     zones: Sequence[int] = field(default_factory=lambda: array('H'))
 
     def find(self, address: int) -> int:
         position = bisect_right(self.starts, address) - 1
-        return self.zones[position] if position >= 0 else _NO_ZONE
+        return self.zones[position] if position >= 0 else _NO_ZONE_NUMBER
 
 
 @dataclass(slots=True)
 class BlockIndex:
-    """Zones of client addresses.
+    """Zones of caller addresses.
 
     >>> index = BlockIndex.from_blocks([ClientBlock('10.0.0.0/8', 'ala')])
     >>> index.zone_of('10.1.2.3')
     'ala'
     >>> index.zone_of('11.0.0.0')
-    <NoZone.UNMAPPED: 'no client block holds the address'>
+    <NoZone.UNMAPPED: 'no client block contains the address'>
     """
 
     names: list[ZoneName]
-    """Zone names; position zero stands for no zone."""
+    """Zone names by number; number zero stands for no zone."""
 
-    families: dict[int, _Family]
+    families: dict[int, _AddressFamily]
     """Intervals by IP version."""
 
     @classmethod
@@ -75,28 +75,29 @@
         names: list[ZoneName],
         ranges: dict[int, list[_Interval]],
     ) -> 'BlockIndex':
-        """Build the index from numeric ranges that nest but never cross."""
+        """Build the index from ranges that may nest but not partly overlap."""
         families = {
-            version: _pack(intervals, version)
+            version: _pack_intervals(intervals, version)
             for version, intervals in ranges.items()
         }
         return cls(names, families)
 
     def zone_of(self, text: str) -> ZoneName | NoZone:
-        """Zone of the longest block that holds an address."""
+        """Return the zone of the longest block that contains an address."""
         try:
             address = ipaddress.ip_address(text)
         except ValueError:
             return NoZone.NOT_AN_ADDRESS
         family = self.families.get(address.version)
-        number = family.find(int(address)) if family else _NO_ZONE
+        number = family.find(int(address)) if family else _NO_ZONE_NUMBER
         return self.names[number] if number else NoZone.UNMAPPED
 
 
 def block_range(text: str) -> tuple[int, int, int]:
-    """IP version, first and last address of a block in CIDR notation.
+    """Return IP version, first and last address of a block in CIDR notation.
 
-    Raises ``ValueError``.  IPv4 has a short way, because there are millions.
+    Raises ``ValueError``.  IPv4 has a fast path, as there are millions of
+    blocks.
 
     >>> block_range('0.0.0.16/28')
     (4, 16, 31)
@@ -111,43 +112,45 @@
         first = int.from_bytes(socket.inet_pton(socket.AF_INET, address))
     except OSError as error:
         raise ValueError(f'expected a block, got {text}') from error
-    if bits > _BITS[4]:
-        raise ValueError(f'expected at most {_BITS[4]} bits, got {text}')
-    hosts = (1 << (_BITS[4] - bits)) - 1
+    if bits > _ADDRESS_BITS[4]:
+        raise ValueError(
+            f'expected at most {_ADDRESS_BITS[4]} bits, got {text}'
+        )
+    hosts = (1 << (_ADDRESS_BITS[4] - bits)) - 1
     if first & hosts:
         raise ValueError(f'{text} has host bits set')
     return 4, first, first | hosts
 
 
-def _pack(intervals: list[_Interval], version: int) -> _Family:
+def _pack_intervals(intervals: list[_Interval], version: int) -> _AddressFamily:
     # Outer blocks sort before the blocks nested in them.
     intervals.sort(key=lambda interval: (interval[0], -interval[1]))
     starts: MutableSequence[int] = array('I') if version == 4 else []
     zones = array('H')
-    limit = 1 << _BITS[version]
+    limit = 1 << _ADDRESS_BITS[version]
     for start, zone in _flatten(intervals):
         if start == limit:
-            continue  # behind the last address
+            continue  # past the last address
         if starts and starts[-1] == start:
             zones[-1] = zone
         elif not zones or zones[-1] != zone:
             starts.append(start)
             zones.append(zone)
-    return _Family(starts, zones)
+    return _AddressFamily(starts, zones)
 
 
 def _flatten(intervals: list[_Interval]) -> Iterable[tuple[int, int]]:
     open_blocks: list[_Interval] = []
     for interval in intervals:
         while open_blocks and open_blocks[-1][1] < interval[0]:
-            closed = open_blocks.pop()
-            yield closed[1] + 1, _enclosing(open_blocks)
+            ended = open_blocks.pop()
+            yield ended[1] + 1, _innermost_zone(open_blocks)
         open_blocks.append(interval)
         yield interval[0], interval[2]
     while open_blocks:
-        closed = open_blocks.pop()
-        yield closed[1] + 1, _enclosing(open_blocks)
+        ended = open_blocks.pop()
+        yield ended[1] + 1, _innermost_zone(open_blocks)
 
 
-def _enclosing(open_blocks: list[_Interval]) -> int:
-    return open_blocks[-1][2] if open_blocks else _NO_ZONE
+def _innermost_zone(open_blocks: list[_Interval]) -> int:
+    return open_blocks[-1][2] if open_blocks else _NO_ZONE_NUMBER
--- a/worksrail/core/bundle/_check.py
+++ b/worksrail/core/bundle/_check.py
@@ -1,4 +1,4 @@
-"""Reads a bundle from YAML and names every fault with line and field."""
+"""Parse and validate a bundle, reporting each fault with line and field."""
 
 import ipaddress
 from collections.abc import Iterable, Iterator
@@ -18,39 +18,39 @@
 from worksrail.core.results import ResultCode
 
 MAX_BUNDLE_BYTES: Final = 1_000_000
-_HIGHEST_PORT: Final = 65_535
+_MAX_PORT: Final = 65_535
 
 _ADAPTER: Final = TypeAdapter(Bundle)
-_Location = tuple[int | str, ...]
+_FieldPath = tuple[int | str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class BundleFault:
-    """One fault of a bundle file."""
+    """A fault in a bundle file."""
 
     line: int
     """Line of the file, counted from one."""
 
     location: str
-    """Dotted path of the field, ``services.0.host``."""
+    """Dotted path of the field, such as ``services.0.host``."""
 
     problem: str
-    """What was expected there."""
+    """What was expected, or what is wrong."""
 
 
 @dataclass(frozen=True, slots=True)
 class BundleFaults:
-    """A refused bundle: the code and every fault found."""
+    """A refused bundle: the result code and all faults."""
 
     code: ResultCode
     """``INVALID_BUNDLE`` or ``BUNDLE_TOO_LARGE``."""
 
     faults: tuple[BundleFault, ...]
-    """All faults in the order of the file."""
+    """Faults in the order of the file, at most ``MAX_BUNDLE_FAULTS``."""
 
 
 def parse_bundle(text: str) -> Bundle | BundleFaults:
-    """Read a bundle, or name all its faults.
+    """Parse a bundle; return its faults if it is invalid.
 
     >>> parse_bundle('format: worksrail/1').code.number
     5001
@@ -65,25 +65,27 @@
         node = yaml.compose(text, Loader=yaml.SafeLoader)
         document = yaml.safe_load(text)
     except (yaml.YAMLError, RecursionError, ValueError) as error:
-        return _invalid([BundleFault(_yaml_line(error), '', _one_line(error))])
-    lines = dict(_lines(node, ()))
+        return _invalid(
+            [BundleFault(_yaml_line(error), '', _single_line(error))]
+        )
+    lines = dict(_line_numbers(node, ()))
     return _validate(document, lines)
 
 
 def _validate(
     document: object,
-    lines: dict[_Location, int],
+    lines: dict[_FieldPath, int],
 ) -> Bundle | BundleFaults:
     try:
         bundle = _ADAPTER.validate_python(document)
     except ValidationError as error:
         return _invalid(
-            _fault(lines, _known(lines, problem['loc']), problem['msg'])
+            _fault(lines, _field_path(lines, problem['loc']), problem['msg'])
             for problem in error.errors(include_url=False)
         )
     faults = [
         _fault(lines, location, problem)
-        for location, problem in _cross_faults(bundle)
+        for location, problem in _consistency_faults(bundle)
     ]
     return _invalid(faults) if faults else bundle
 
@@ -102,8 +104,8 @@
 
 
 def _fault(
-    lines: dict[_Location, int],
-    location: _Location,
+    lines: dict[_FieldPath, int],
+    location: _FieldPath,
     problem: str,
 ) -> BundleFault:
     known = location
@@ -113,12 +115,14 @@
     return BundleFault(lines.get(known, 1), path, problem)
 
 
-def _known(lines: dict[_Location, int], location: _Location) -> _Location:
-    # The validator adds parts of its own behind the field it speaks of.
+def _field_path(
+    lines: dict[_FieldPath, int], location: _FieldPath
+) -> _FieldPath:
+    # For some strings the validator appends a type name to the field's path.
     return location[:-1] if location and location[-1] == 'str' else location
 
 
-def _one_line(error: Exception) -> str:
+def _single_line(error: Exception) -> str:
     return ' '.join(str(error).split())
 
 
@@ -127,23 +131,23 @@
     return mark.line + 1 if mark else 1
 
 
-def _lines(
+def _line_numbers(
     node: yaml.Node | None,
-    location: _Location,
-) -> Iterator[tuple[_Location, int]]:
+    location: _FieldPath,
+) -> Iterator[tuple[_FieldPath, int]]:
     if node is None:
         return
     yield location, node.start_mark.line + 1
     if isinstance(node, yaml.MappingNode):
         for key, child in node.value:
-            yield from _lines(child, (*location, str(key.value)))
+            yield from _line_numbers(child, (*location, str(key.value)))
             yield (*location, str(key.value)), key.start_mark.line + 1
     elif isinstance(node, yaml.SequenceNode):
         for index, element in enumerate(node.value):
-            yield from _lines(element, (*location, index))
+            yield from _line_numbers(element, (*location, index))
 
 
-def _cross_faults(bundle: Bundle) -> Iterator[tuple[_Location, str]]:
+def _consistency_faults(bundle: Bundle) -> Iterator[tuple[_FieldPath, str]]:
     if bundle.format != FORMAT:
         yield ('format',), f'expected {FORMAT}, got {bundle.format}'
     regions = {region.name for region in bundle.regions}
@@ -158,9 +162,9 @@
 
 
 def _duplicates(
-    location: _Location,
+    location: _FieldPath,
     names: list[str],
-) -> Iterator[tuple[_Location, str]]:
+) -> Iterator[tuple[_FieldPath, str]]:
     seen: set[str] = set()
     for index, name in enumerate(names):
         if name in seen:
@@ -171,7 +175,7 @@
 def _region_faults(
     bundle: Bundle,
     regions: set[str],
-) -> Iterator[tuple[_Location, str]]:
+) -> Iterator[tuple[_FieldPath, str]]:
     for index, region in enumerate(bundle.regions):
         for position, name in enumerate(region.fallbacks):
             if name not in regions or name == region.name:
@@ -191,21 +195,21 @@
     bundle: Bundle,
     regions: set[str],
     zones: set[str],
-) -> Iterator[tuple[_Location, str]]:
+) -> Iterator[tuple[_FieldPath, str]]:
     seen: set[str] = set()
     names = [service.name for service in bundle.services]
     yield from _duplicates(('services',), names)
     for index, service in enumerate(bundle.services):
-        location: _Location = ('services', index)
+        location: _FieldPath = ('services', index)
         if service.host in seen:
             yield (*location, 'host'), f'host {service.host} is taken'
         seen.add(service.host)
         yield from _upstream_faults(service, location, zones)
         yield from _cap_faults(service, location, regions)
-    yield from _same_upstreams(bundle)
+    yield from _duplicate_upstreams(bundle)
 
 
-def _same_upstreams(bundle: Bundle) -> Iterator[tuple[_Location, str]]:
+def _duplicate_upstreams(bundle: Bundle) -> Iterator[tuple[_FieldPath, str]]:
     seen: set[str] = set()
     for index, service in enumerate(bundle.services):
         for position, upstream in enumerate(service.upstreams):
@@ -219,15 +223,15 @@
 
 def _upstream_faults(
     service: Service,
-    location: _Location,
+    location: _FieldPath,
     zones: set[str],
-) -> Iterator[tuple[_Location, str]]:
+) -> Iterator[tuple[_FieldPath, str]]:
     for index, upstream in enumerate(service.upstreams):
         place = (*location, 'upstreams', index)
         if upstream.zone not in zones:
             yield (*place, 'zone'), f'no zone named {upstream.zone}'
         host, _, port = upstream.address.partition(':')
-        if not _is_address(host) or not 0 < int(port) <= _HIGHEST_PORT:
+        if not _is_address(host) or not 0 < int(port) <= _MAX_PORT:
             yield (
                 (*place, 'address'),
                 f'expected an IP number and a port, got {upstream.address}',
@@ -236,9 +240,9 @@
 
 def _cap_faults(
     service: Service,
-    location: _Location,
+    location: _FieldPath,
     regions: set[str],
-) -> Iterator[tuple[_Location, str]]:
+) -> Iterator[tuple[_FieldPath, str]]:
     pairs: set[tuple[str, str]] = set()
     for index, cap in enumerate(service.shift_caps):
         place = (*location, 'shift_caps', index)
@@ -258,7 +262,7 @@
 def _block_faults(
     bundle: Bundle,
     zones: set[str],
-) -> Iterator[tuple[_Location, str]]:
+) -> Iterator[tuple[_FieldPath, str]]:
     for index, block in enumerate(bundle.client_blocks):
         place = ('client_blocks', index)
         if block.zone not in zones:
@@ -269,12 +273,12 @@
             yield (*place, 'block'), str(error)
 
 
-def _customer_faults(bundle: Bundle) -> Iterator[tuple[_Location, str]]:
+def _customer_faults(bundle: Bundle) -> Iterator[tuple[_FieldPath, str]]:
     names = [customer.name for customer in bundle.customers]
     yield from _duplicates(('customers',), names)
     holders: dict[str, str] = {}
     for index, customer in enumerate(bundle.customers):
-        location: _Location = ('customers', index, 'keys')
+        location: _FieldPath = ('customers', index, 'keys')
         if not customer.keys:
             yield location, f'{customer.name} holds no key'
         for position, key in enumerate(customer.keys):
@@ -286,7 +290,7 @@
 def _drain_faults(
     bundle: Bundle,
     zones: set[str],
-) -> Iterator[tuple[_Location, str]]:
+) -> Iterator[tuple[_FieldPath, str]]:
     upstreams = {
         upstream.name
         for service in bundle.services
--- a/worksrail/core/bundle/_digest.py
+++ b/worksrail/core/bundle/_digest.py
@@ -1,10 +1,10 @@
-"""Splits a bundle into content-addressed chunks and puts it together again.
+"""Split a bundle into content-addressed chunks, and reassemble it.
 
-A chunk is named by the digest of its bytes.  Chunks are the leaves of a
-tree: each node lists the digests below it, and the bundle is named by the
-digest of the root.  Client blocks, and the digests in nodes, are cut where
-their content says so, not at fixed positions: an added block changes one
-leaf and the few nodes above it, and only those are sent.
+A chunk is identified by the digest of its bytes.  Chunks form a Merkle tree:
+each node lists the digests of its children, and the digest of the root
+identifies the bundle.  The lists of client blocks and of digests are divided
+by content-defined chunking rather than at fixed positions: an added block
+changes one leaf and the few nodes above it, and only those are sent.
 """
 
 import hashlib
@@ -20,12 +20,12 @@
 from worksrail.core.bundle._check import BundleFaults, validate_document
 from worksrail.core.bundle._model import Bundle, ClientBlock
 
-_BOUNDARY_MASK: Final = 0x7F
-_CHUNK_BLOCK_LIMIT: Final = 1024
-_NODE_MASK: Final = 0x3F
-_NODE_LIMIT: Final = 512
-_BLOCKS_START: Final = b'{"client_blocks":'
-_MARK_DIGITS: Final = 4
+_BLOCK_BOUNDARY_MASK: Final = 0x7F
+_MAX_BLOCKS_PER_CHUNK: Final = 1024
+_NODE_BOUNDARY_MASK: Final = 0x3F
+_MAX_DIGESTS_PER_NODE: Final = 512
+_BLOCK_LEAF_PREFIX: Final = b'{"client_blocks":'
+_BOUNDARY_DIGITS: Final = 4
 _HEXADECIMAL: Final = 16
 
 Digest = str
@@ -34,7 +34,7 @@
 
 @unique
 class NoBundle(Enum):
-    """Sentinel: why chunks give no bundle."""
+    """Sentinel: why chunks cannot be assembled to a bundle."""
 
     MISSING_CHUNK = 'a chunk is missing'
     WRONG_DIGEST = 'bytes do not match their digest'
@@ -42,13 +42,13 @@
 
 
 class ChunkNode(msgspec.Struct, frozen=True):
-    """A node of the tree of chunks."""
+    """An inner node of the tree of chunks."""
 
     level: int
-    """Zero when leaves are below it."""
+    """Level in the tree; zero if its children are leaves."""
 
     below: tuple[Digest, ...]
-    """Digests of what is below it."""
+    """Digests of its children."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,25 +56,27 @@
     """A bundle as it is stored and sent."""
 
     digest: Digest
-    """Digest of the root; names the bundle."""
+    """Digest of the root, which identifies the bundle."""
 
     chunks: Mapping[Digest, bytes]
     """All nodes and leaves by digest."""
 
 
 def digest_of(payload: bytes) -> Digest:
-    """Digest of bytes, as hexadecimal text."""
+    """Return the digest of bytes in hexadecimal."""
     return hashlib.sha256(payload).hexdigest()
 
 
 def pack_bundle(bundle: Bundle) -> PackedBundle:
-    """Split a bundle into chunks; equal bundles give equal digests."""
+    """Split a bundle into chunks; equal bundles have equal digests."""
     chunks: dict[Digest, bytes] = {}
-    below = [_add(chunks, payload) for payload in _payloads(bundle)]
+    below = [_add_chunk(chunks, payload) for payload in _leaf_payloads(bundle)]
     level = 0
     while True:
         nodes = [
-            _add(chunks, msgspec.json.encode(ChunkNode(level, tuple(run))))
+            _add_chunk(
+                chunks, msgspec.json.encode(ChunkNode(level, tuple(run)))
+            )
             for run in _digest_runs(below)
         ]
         if len(nodes) == 1:
@@ -84,7 +86,7 @@
 
 
 def read_node(payload: bytes) -> ChunkNode | NoBundle:
-    """Read a node of the tree."""
+    """Decode a node of the tree."""
     try:
         return msgspec.json.decode(payload, type=ChunkNode)
     except (msgspec.ValidationError, msgspec.DecodeError):
@@ -92,9 +94,9 @@
 
 
 def unpack_bundle(digest: Digest, read: ChunkReader) -> Bundle | NoBundle:
-    """Put a bundle together; every byte is checked against its digest."""
-    parts = _Parts()
-    fault = _read_below(digest, read, parts)
+    """Assemble a bundle; each chunk is verified against its digest."""
+    parts = _BundleParts()
+    fault = _read_subtree(digest, read, parts)
     if fault:
         return fault
     bundle = validate_document(parts.document)
@@ -107,7 +109,7 @@
 
 
 @dataclass(slots=True)
-class _Parts:
+class _BundleParts:
     document: dict[str, Any] = field(default_factory=dict)
     blocks: list[ClientBlock] = field(default_factory=list)
     zones: set[str] = field(default_factory=set)
@@ -117,19 +119,19 @@
     client_blocks: list[ClientBlock]
 
 
-def _read_below(
+def _read_subtree(
     digest: Digest,
     read: ChunkReader,
-    parts: _Parts,
+    parts: _BundleParts,
 ) -> NoBundle | None:
-    payload = _checked(digest, read)
+    payload = _read_verified(digest, read)
     if isinstance(payload, NoBundle):
         return payload
     node = read_node(payload)
     if isinstance(node, NoBundle):
         return node
     for below in node.below:
-        reader = _read_below if node.level else _read_leaf
+        reader = _read_subtree if node.level else _read_leaf
         fault = reader(below, read, parts)
         if fault:
             return fault
@@ -139,20 +141,20 @@
 def _read_leaf(
     digest: Digest,
     read: ChunkReader,
-    parts: _Parts,
+    parts: _BundleParts,
 ) -> NoBundle | None:
-    payload = _checked(digest, read)
+    payload = _read_verified(digest, read)
     if isinstance(payload, NoBundle):
         return payload
-    # Blocks are by far the most: they are not validated field by field.
-    if payload.startswith(_BLOCKS_START):
-        good = _merge_blocks(parts, payload)
+    # Most of the data is blocks, so they are not validated field by field.
+    if payload.startswith(_BLOCK_LEAF_PREFIX):
+        valid = _append_blocks(parts, payload)
     else:
-        good = _merge(parts.document, payload)
-    return None if good else NoBundle.NOT_A_BUNDLE
+        valid = _merge_document(parts.document, payload)
+    return None if valid else NoBundle.NOT_A_BUNDLE
 
 
-def _merge_blocks(parts: _Parts, payload: bytes) -> bool:
+def _append_blocks(parts: _BundleParts, payload: bytes) -> bool:
     try:
         leaf = msgspec.json.decode(payload, type=_BlockLeaf)
         for block in leaf.client_blocks:
@@ -164,7 +166,7 @@
     return True
 
 
-def _checked(digest: Digest, read: ChunkReader) -> bytes | NoBundle:
+def _read_verified(digest: Digest, read: ChunkReader) -> bytes | NoBundle:
     payload = read(digest)
     if payload is None:
         return NoBundle.MISSING_CHUNK
@@ -173,7 +175,7 @@
     return payload
 
 
-def _merge(document: dict[str, Any], payload: bytes) -> bool:
+def _merge_document(document: dict[str, Any], payload: bytes) -> bool:
     try:
         part = msgspec.json.decode(payload, type=dict[str, Any])
     except (msgspec.ValidationError, msgspec.DecodeError):
@@ -186,13 +188,13 @@
     return True
 
 
-def _add(chunks: dict[Digest, bytes], payload: bytes) -> Digest:
+def _add_chunk(chunks: dict[Digest, bytes], payload: bytes) -> Digest:
     digest = digest_of(payload)
     chunks[digest] = payload
     return digest
 
 
-def _payloads(bundle: Bundle) -> Iterator[bytes]:
+def _leaf_payloads(bundle: Bundle) -> Iterator[bytes]:
     base = replace(bundle, services=(), client_blocks=())
     yield msgspec.json.encode(base, order='sorted')
     for service in sorted(bundle.services, key=lambda item: item.name):
@@ -205,9 +207,14 @@
     run: list[Digest] = []
     for digest in digests:
         run.append(digest)
-        mark = int(digest[:_MARK_DIGITS], base=_HEXADECIMAL) & _NODE_MASK
-        # A run of one would make a level as long as the one below it.
-        if len(run) >= _NODE_LIMIT or (mark == 0 and len(run) > 1):
+        boundary_bits = (
+            int(digest[:_BOUNDARY_DIGITS], base=_HEXADECIMAL)
+            & _NODE_BOUNDARY_MASK
+        )
+        # Runs of one digest would make each level as long as the one below.
+        if len(run) >= _MAX_DIGESTS_PER_NODE or (
+            boundary_bits == 0 and len(run) > 1
+        ):
             yield run
             run = []
     if run:
@@ -218,8 +225,10 @@
     run: list[ClientBlock] = []
     for block in sorted(blocks, key=lambda item: item.block):
         run.append(block)
-        mark = xxhash.xxh32_intdigest(block.block.encode()) & _BOUNDARY_MASK
-        if mark == 0 or len(run) >= _CHUNK_BLOCK_LIMIT:
+        boundary_bits = (
+            xxhash.xxh32_intdigest(block.block.encode()) & _BLOCK_BOUNDARY_MASK
+        )
+        if boundary_bits == 0 or len(run) >= _MAX_BLOCKS_PER_CHUNK:
             yield run
             run = []
     if run:
--- a/worksrail/core/bundle/_model.py
+++ b/worksrail/core/bundle/_model.py
@@ -1,8 +1,8 @@
-"""The vocabulary of a bundle: what operators review and roll as a unit.
+"""The data model of a bundle, which operators review and roll out as a unit.
 
 All classes are immutable.  Rates are in requests per second, times in
-seconds, slots and connections are counts per upstream.  They are validated
-from parsed YAML by :mod:`worksrail.core.bundle._check`.
+seconds; slots and connections are counts per upstream.  Parsed YAML is
+validated against the model by :mod:`worksrail.core.bundle._check`.
 """
 
 from dataclasses import dataclass, field
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Region:
-    """A region: availability zones with short distances between them."""
+    """A region: availability zones with low latency between them."""
 
     __pydantic_config__ = _STRICT
 
@@ -36,13 +36,13 @@
     """Unique name."""
 
     seats: Count
-    """Into how many seats the region's permits are split."""
+    """Number of seats that the region's permits are split over."""
 
     headroom: Fraction = 0.1
     """Share of each service's slots that shifted traffic leaves free."""
 
     fallbacks: tuple[Name, ...] = ()
-    """Regions that take traffic when this one cannot, nearest first."""
+    """Regions that receive traffic if this one cannot, nearest first."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,34 +55,34 @@
     """Unique name."""
 
     region: Name
-    """Region the zone belongs to."""
+    """Region that the zone belongs to."""
 
 
 @dataclass(frozen=True, slots=True)
 class Upstream:
-    """One back end process of a service."""
+    """A process that executes requests of a service."""
 
     __pydantic_config__ = _STRICT
 
     name: Name
-    """Unique name over all services."""
+    """Name, unique over all services."""
 
     address: Annotated[str, Field(pattern=r'^[0-9.]+:\d{1,5}$')]
-    """IP number and port, ``127.0.0.1:9000``."""
+    """IP address and port, ``127.0.0.1:9000``."""
 
     zone: Name
-    """Availability zone where it runs."""
+    """Availability zone that it runs in."""
 
     slots: Count
-    """Requests it executes at once."""
+    """Maximum number of requests that it executes at once."""
 
     connections: Count = 300
-    """Connections it accepts."""
+    """Maximum number of connections that it accepts."""
 
 
 @dataclass(frozen=True, slots=True)
 class ShiftCap:
-    """Limit on traffic of one service served away from its home region."""
+    """Limit on traffic of a service that is served outside its home region."""
 
     __pydantic_config__ = _STRICT
 
@@ -93,18 +93,18 @@
     """Region that serves them instead."""
 
     rate: Count
-    """Most requests a second, over all entries."""
+    """Maximum requests per second, over all entries."""
 
     in_flight: Count
-    """Most requests in flight, over all entries."""
+    """Maximum requests in flight, over all entries."""
 
     rise: Count
-    """By how many requests a second the rate may grow each second."""
+    """Maximum growth of the rate within a second, in requests per second."""
 
 
 @dataclass(frozen=True, slots=True)
 class IdempotentRule:
-    """Which requests of a service may be repeated without harm."""
+    """Which requests of a service may be repeated safely."""
 
     __pydantic_config__ = _STRICT
 
@@ -128,19 +128,19 @@
     """Value of the Host header, without port."""
 
     upstreams: tuple[Upstream, ...]
-    """Where it runs."""
+    """Upstreams that execute its requests."""
 
     weight: Count = 1
-    """Weight against other services when capacity is short."""
+    """Weight relative to other services when capacity is short."""
 
     deadline: Seconds = 5.0
-    """Longest time a request may take."""
+    """Maximum time that a request may take."""
 
     queue_wait: Seconds = 0.5
-    """Longest time a request may wait for a slot."""
+    """Maximum time that a request may wait for a slot."""
 
     slow_start: Annotated[float, Field(ge=0, le=3600)] = 4.0
-    """Time over which a cold upstream comes to its full slots."""
+    """Time over which a cold upstream gets its full slots."""
 
     idempotent: IdempotentRule = field(default_factory=IdempotentRule)
     """Which of its requests may be repeated."""
@@ -149,41 +149,41 @@
     """Limits on traffic that leaves its home region."""
 
     public: bool = False
-    """Callers need no key, though the bundle has customers."""
+    """Whether callers need no key although the bundle has customers."""
 
 
 @dataclass(frozen=True, slots=True)
 class CustomerQuota:
-    """How many requests of a customer may be executed, over all entries."""
+    """Limit on the requests of a customer, over all entries."""
 
     __pydantic_config__ = _STRICT
 
     rate: Rate
-    """Requests a second."""
+    """Requests per second."""
 
     burst: Burst = 0
-    """Requests that may come on top of the rate at once."""
+    """Requests allowed at once in addition to the rate."""
 
 
 @dataclass(frozen=True, slots=True)
 class BundleCustomer:
-    """A customer, and the keys that its callers send."""
+    """A customer and the API keys that its callers send."""
 
     __pydantic_config__ = _STRICT
 
     name: Name
-    """Unique name; upstreams are told it."""
+    """Unique name; it is sent to the upstreams."""
 
     keys: tuple[KeyDigest, ...]
-    """SHA-256 of its API keys, hexadecimal; no bundle holds a key itself."""
+    """SHA-256 digests of its API keys in hexadecimal; never the keys."""
 
     quota: CustomerQuota | None = None
-    """Limit on its requests; none if left out."""
+    """Limit on its requests; None for no limit."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClientBlock:
-    """Callers' address block and the zone nearest to them."""
+    """A block of callers' addresses and the zone nearest to them."""
 
     __pydantic_config__ = _STRICT
 
@@ -191,12 +191,12 @@
     """Address block in CIDR notation."""
 
     zone: Name
-    """Availability zone its callers are nearest to."""
+    """Availability zone that the callers are nearest to."""
 
 
 @unique
 class DrainKind(Enum):
-    """What a drain empties."""
+    """Kind of target that a drain takes out of service."""
 
     UPSTREAM = 'upstream'
     ZONE = 'zone'
@@ -205,7 +205,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Drain:
-    """A planned drain of one target."""
+    """A planned drain of a target."""
 
     __pydantic_config__ = _STRICT
 
@@ -218,7 +218,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bundle:
-    """A versioned configuration: services, places, limits and drains."""
+    """A versioned configuration: services, locations, limits and drains."""
 
     __pydantic_config__ = _STRICT
 
@@ -238,16 +238,16 @@
     """All services."""
 
     client_blocks: tuple[ClientBlock, ...] = ()
-    """Where callers are."""
+    """Locations of callers."""
 
     drains: tuple[Drain, ...] = ()
-    """Drains that come into force with the bundle."""
+    """Drains that are applied with the bundle."""
 
     customers: tuple[BundleCustomer, ...] = ()
-    """Who may call; without any, callers need no key."""
+    """Customers whose callers are served; if empty, callers need no key."""
 
     answer_age: Seconds = 4.0
-    """How long callers may cache a look-up answer."""
+    """Time for which callers may cache a look-up answer."""
 
 
 MAX_BUNDLE_FAULTS: Final = 200
--- a/worksrail/core/bundle/_topology.py
+++ b/worksrail/core/bundle/_topology.py
@@ -1,4 +1,4 @@
-"""A bundle compiled for fast decisions: maps instead of lists."""
+"""A bundle compiled for fast decisions, with maps instead of lists."""
 
 from collections import defaultdict
 from dataclasses import dataclass, field, replace
@@ -29,10 +29,10 @@
 
 @dataclass(slots=True)
 class CompiledService:
-    """A service with its upstreams and caps in maps."""
+    """A service with maps of its upstreams and shift caps."""
 
     service: Service
-    """The service as the bundle has it."""
+    """The service as it is in the bundle."""
 
     regional: dict[RegionName, list[Upstream]]
     """Upstreams by region."""
@@ -62,24 +62,24 @@
     """Services by name."""
 
     hosts: dict[str, ServiceName]
-    """Service of each Host name."""
+    """Service by host name."""
 
     upstreams: dict[PoolKey, tuple[ServiceName, Upstream]]
     """Upstreams with their services, by the key of their slot pool."""
 
     blocks: BlockIndex
-    """Zones of client addresses."""
+    """Index from caller addresses to zones."""
 
     customers: CustomerTable | None = None
-    """Who may call; None means anybody, without a key."""
+    """Customers whose callers are served; None if callers need no key."""
 
     drains: frozenset[Drain] = field(default_factory=frozenset)
-    """Drains that the bundle carries."""
+    """Drains in the bundle."""
 
     slots_cache: dict[
         tuple[ServiceName, RegionName], tuple[frozenset[Drain], int]
     ] = field(default_factory=dict)
-    """Open slots by service and region, with the drains they hold for."""
+    """Cached results of :meth:`undrained_slots`, each with its drains."""
 
     @classmethod
     def from_bundle(cls, bundle: Bundle) -> 'Topology':
@@ -90,7 +90,7 @@
             for service in bundle.services
         }
         return cls(
-            # The index below says all that is needed of the blocks.
+            # The blocks are dropped, as the index replaces them.
             replace(bundle, client_blocks=()),
             {region.name: region for region in bundle.regions},
             zone_regions,
@@ -111,18 +111,18 @@
         address: str,
         default: RegionName,
     ) -> RegionName:
-        """Home region of a caller; the default for an unmapped address."""
+        """Return the home region of a caller's address, or the default."""
         zone = self.blocks.zone_of(address)
         if isinstance(zone, NoZone):
             return default
         return self.zone_regions.get(zone, default)
 
     def region_of_upstream(self, upstream: Upstream) -> RegionName:
-        """Region an upstream runs in."""
+        """Return the region that an upstream runs in."""
         return self.zone_regions[upstream.zone]
 
     def pool_specs(self, region: RegionName) -> list[PoolSpec]:
-        """All pools whose permits are split over the seats of a region."""
+        """Return all pools that are split over the seats of a region."""
         home = self.regions.get(region)
         if home is None:
             return []
@@ -138,7 +138,7 @@
         region: RegionName,
         drains: frozenset[Drain],
     ) -> int:
-        """Slots of a service in a region that take work under drains."""
+        """Return the slots of a service in a region that are not drained."""
         key = (service, region)
         cached = self.slots_cache.get(key)
         if cached and cached[0] == drains:
@@ -156,10 +156,10 @@
         upstream: Upstream,
         drains: frozenset[Drain],
     ) -> bool:
-        """Whether an upstream gets no new work."""
-        one = Drain(DrainKind.UPSTREAM, upstream.name)
+        """Return whether an upstream gets no new requests."""
+        own = Drain(DrainKind.UPSTREAM, upstream.name)
         zone = Drain(DrainKind.ZONE, upstream.zone)
-        return bool(drains & {one, zone})
+        return bool(drains & {own, zone})
 
 
 def _customers(listed: tuple[BundleCustomer, ...]) -> CustomerTable | None:
--- a/worksrail/core/configuration/__init__.py
+++ b/worksrail/core/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""Configuration in force: generations that never go back."""
+"""The configuration in force: generations that only increase."""
 
 from worksrail.core.configuration._generations import (
     Configuration,
--- a/worksrail/core/configuration/_generations.py
+++ b/worksrail/core/configuration/_generations.py
@@ -1,8 +1,8 @@
-"""Generations: which configuration is in force, and which is to come.
+"""Generations: the configuration in force and the newest known one.
 
-Only a higher generation is ever applied, wherever news of it comes from.  A
-stale read, or a store that was restored to an older state, changes nothing;
-it is told apart from plain repetition so that operators hear of it.
+Only a higher generation is ever applied, whatever its source.  A stale read,
+or a store that was restored to an older state, changes nothing; it is
+distinguished from a repetition, so that it can be reported to operators.
 """
 
 from collections.abc import Iterable
@@ -15,16 +15,16 @@
 from worksrail.core.permits import PoolKey
 
 _SEPARATOR: Final = '/'
-_FETCH_RETRY: Final = 0.5
+_FETCH_RETRY_S: Final = 0.5
 
 
 @unique
 class HeadVerdict(Enum):
-    """What news of a head means to this instance."""
+    """How a received head relates to the generation in force."""
 
     FETCH = 'newer: its bundle must be fetched'
-    KNOWN = 'nothing new'
-    OLDER = 'older than what is in force'
+    KNOWN = 'already known'
+    OLDER = 'older than the generation in force'
     FORKED = 'the generation in force, with another digest'
 
 
@@ -46,19 +46,19 @@
     """The bundle in force, compiled."""
 
     wanted: int = 0
-    """Newest generation heard of."""
+    """Newest known generation."""
 
     wanted_digest: str = ''
     """Its digest."""
 
-    wanted_since: float = 0
-    """When it was first heard of."""
+    first_seen_at: float = 0
+    """When it was first seen."""
 
     fetching_until: float = 0
-    """When an unanswered fetch is tried again."""
+    """When a fetch without an answer is retried."""
 
     applied_after: float = 0
-    """Seconds from first news of the generation in force to its force."""
+    """Seconds between first seeing the generation in force and applying it."""
 
     drain_revision: int = 0
     """Revision of the drain list in force."""
@@ -70,13 +70,13 @@
     """Drains on the list."""
 
     def region_of(self, upstream: str) -> RegionName:
-        """Region of the upstream with a pool; empty if there is none."""
+        """Return the region of the upstream with a slot pool; '' if unknown."""
         topology = self.topology
         key = PoolKey(upstream)
         if topology is None or key not in topology.upstreams:
             return ''
-        _, found = topology.upstreams[key]
-        return topology.region_of_upstream(found)
+        _, record = topology.upstreams[key]
+        return topology.region_of_upstream(record)
 
     @property
     def drains(self) -> frozenset[Drain]:
@@ -88,7 +88,7 @@
     def evaluate_head(
         self, generation: int, digest: str, now: float
     ) -> HeadVerdict:
-        """Take in news of a head."""
+        """Compare a received head with the generation in force."""
         if generation < self.generation:
             return HeadVerdict.OLDER
         if generation == self.generation:
@@ -97,15 +97,15 @@
         if generation > self.wanted:
             self.wanted = generation
             self.wanted_digest = digest
-            self.wanted_since = now
+            self.first_seen_at = now
             self.fetching_until = 0
         if now < self.fetching_until:
             return HeadVerdict.KNOWN
-        self.fetching_until = now + _FETCH_RETRY
+        self.fetching_until = now + _FETCH_RETRY_S
         return HeadVerdict.FETCH
 
     def needs_fetch(self, now: float) -> bool:
-        """Whether a fetch that failed is due again."""
+        """Return whether a failed fetch is due for a retry."""
         return self.wanted > self.generation and now >= self.fetching_until
 
     def apply(
@@ -115,7 +115,7 @@
         bundle: Bundle,
         now: float,
     ) -> bool:
-        """Bring a generation into force; false unless it is higher."""
+        """Apply a generation; return false unless it is higher."""
         if generation <= self.generation:
             return False
         self.generation = generation
@@ -123,11 +123,11 @@
         self.topology = Topology.from_bundle(bundle)
         if generation >= self.wanted:
             self.wanted = generation
-            self.applied_after = now - self.wanted_since
+            self.applied_after = now - self.first_seen_at
         return True
 
     def apply_drains(self, revision: int, targets: tuple[str, ...]) -> bool:
-        """Bring a drain list into force; false unless it is newer."""
+        """Apply a drain list; return false unless it is newer."""
         if revision <= self.drain_revision:
             return False
         self.drain_revision = revision
@@ -137,15 +137,13 @@
 
 
 def drains_from_targets(targets: Iterable[str]) -> frozenset[Drain]:
-    """Read ``kind/name`` texts; unknown kinds are passed over.
+    """Parse ``kind/name`` texts; unknown kinds are skipped.
 
     >>> drains_from_targets(['zone/gua-nicoya'])
     frozenset({Drain(kind=<DrainKind.ZONE: 'zone'>, name='gua-nicoya')})
     """
     known = {kind.value for kind in DrainKind}
-    parted = [target.partition(_SEPARATOR) for target in targets]
+    parts = [target.partition(_SEPARATOR) for target in targets]
     return frozenset(
-        Drain(DrainKind(kind), name)
-        for kind, _, name in parted
-        if kind in known
+        Drain(DrainKind(kind), name) for kind, _, name in parts if kind in known
     )
--- a/worksrail/core/membership/__init__.py
+++ b/worksrail/core/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Membership by heartbeats with incarnations."""
+"""Membership of instances, by gossiped heartbeats with incarnations."""
 
 from worksrail.core._rendezvous import (
     rendezvous,
--- a/worksrail/core/membership/_members.py
+++ b/worksrail/core/membership/_members.py
@@ -1,10 +1,10 @@
-"""Who is there: heartbeats with incarnations, suspicion before death.
+"""Membership by gossip: heartbeats, with a suspect state before death.
 
-Each round an instance sends its record, and a sample of the records it has
-heard of, to a few others.  What a round costs does not depend on how many
-instances there are.  A record replaces another one of the same name only
-when its incarnation, or within it its counter, is higher; repeated and late
-heartbeats therefore change nothing.
+In each round an instance sends its own record, and a sample of the records
+of other instances, to a few peers.  The cost of a round does not depend on
+the number of instances.  A record replaces an earlier one of the same name
+only if its incarnation, or within the incarnation its counter, is higher;
+duplicate and late heartbeats therefore have no effect.
 """
 
 from collections.abc import Iterator
@@ -16,12 +16,12 @@
 from worksrail.core.messages import Heartbeat, MemberRecord, MemberStatus
 from worksrail.core.settings import CoreSettings
 
-_RENEWALS: Final = 2.5
+_RENEWALS_BEFORE_SUSPICION: Final = 2.5
 
 
 @unique
 class Liveness(Enum):
-    """What this instance believes of another one."""
+    """The state of another instance, judged by its heartbeats."""
 
     LIVE = 'live'
     SUSPECT = 'suspect'
@@ -30,13 +30,13 @@
 
 @dataclass(slots=True)
 class Member:
-    """What is known of another instance."""
+    """The local state of another instance."""
 
     record: MemberRecord
     """Its newest record."""
 
     received_at: float
-    """When a record of it last grew."""
+    """When its newest record was received."""
 
     avoid_until: float = 0
     """Until when it gets no new work because a connection failed."""
@@ -44,24 +44,24 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedInstance:
-    """An instance on the platform's lagging list."""
+    """An instance on the list of the platform, which may be outdated."""
 
     name: InstanceName
-    """Its name."""
+    """Name of the instance."""
 
     region: RegionName
-    """Region it runs in."""
+    """Region that it runs in."""
 
     peer: str
-    """Address for messages."""
+    """Address that peers send messages to."""
 
     leaving: bool = False
-    """The platform is about to stop it."""
+    """Whether the platform is about to stop it."""
 
 
 @dataclass(slots=True)
 class Membership:
-    """All other instances, as far as they are known."""
+    """All known instances except this one."""
 
     own: Incarnation
     """This instance."""
@@ -70,57 +70,57 @@
     """Its region."""
 
     members: dict[InstanceName, Member] = field(default_factory=dict)
-    """Others by name."""
+    """Other instances by name."""
 
     listed: dict[InstanceName, ListedInstance] | None = None
-    """The platform's list; None until it was read once."""
+    """The platform's list; None before the first read."""
 
     counter: int = 0
-    """Heartbeat rounds of this incarnation."""
+    """Number of heartbeat rounds of this incarnation."""
 
     cursor: int = 0
-    """Where the next round goes on in the order of names."""
+    """Position in the sorted names at which the next round starts."""
 
     sample_cursor: int = 0
-    """Where the next sample of records goes on."""
+    """Position in the sorted names at which the next sample starts."""
 
     last_contact_at: float = 0
-    """When any other instance was last heard."""
+    """When a heartbeat of any other instance was last received."""
 
-    # -- what is heard
+    # -- received state
 
     def merge_heartbeat(
         self,
         message: Heartbeat,
         now: float,
     ) -> tuple[MemberRecord, ...]:
-        """Take in a heartbeat; give the records that were news."""
+        """Merge a heartbeat; return the records that were newer."""
         self.last_contact_at = now
-        news = [
+        newer = [
             record
             for record in (message.record, *message.others)
             if self._merge(record, now)
         ]
-        return tuple(news)
+        return tuple(newer)
 
     def avoid(self, name: InstanceName, now: float, time: float) -> None:
-        """Give an instance no new work for a while."""
+        """Send an instance no new work for ``time`` seconds."""
         member = self.members.get(name)
         if member:
             member.avoid_until = now + time
 
     def forget_dead(self, now: float, settings: CoreSettings) -> None:
-        """Drop records of instances that are long gone."""
-        keep = 4 * settings.reclaim_after
-        gone = [
+        """Remove the records of instances that ended long ago."""
+        retention = 4 * settings.reclaim_after
+        expired = [
             name
             for name, member in self.members.items()
-            if now - member.received_at > keep
+            if now - member.received_at > retention
         ]
-        for name in gone:
+        for name in expired:
             self.members.pop(name)
 
-    # -- what is believed
+    # -- liveness
 
     def liveness(
         self,
@@ -128,7 +128,7 @@
         now: float,
         settings: CoreSettings,
     ) -> Liveness:
-        """Judge an instance by the age of its newest record."""
+        """Classify an instance by the age of its newest record."""
         member = self.members.get(name)
         if member is None or member.record.status is MemberStatus.LEFT:
             return Liveness.DEAD
@@ -141,18 +141,20 @@
         return Liveness.DEAD
 
     def timeout_factor(self, settings: CoreSettings) -> float:
-        """How much longer silences are tolerated in a large fleet.
+        """Return the factor by which failure timeouts grow with the fleet.
 
-        A round carries a fixed number of records, so that its cost stays
-        level; the more members there are, the longer it takes until each
-        of them was heard of again.
+        A round carries a fixed number of records, which keeps its cost
+        constant; the more members there are, the longer it takes until the
+        record of each of them is renewed.
         """
         round_records = settings.heartbeat_fanout * (
             settings.heartbeat_sample + 1
         )
         rounds = len(self.members) / round_records
         renewal = rounds * settings.heartbeat_interval
-        return max(1, _RENEWALS * renewal / settings.suspect_after)
+        return max(
+            1, _RENEWALS_BEFORE_SUSPICION * renewal / settings.suspect_after
+        )
 
     def live(
         self,
@@ -160,7 +162,7 @@
         settings: CoreSettings,
         region: RegionName | None = None,
     ) -> Iterator[MemberRecord]:
-        """Records of the live instances, of one region or of all."""
+        """Yield the records of live instances, of one region or of all."""
         for name, member in self.members.items():
             place = member.record.place
             if region is not None and place.region != region:
@@ -174,7 +176,7 @@
         settings: CoreSettings,
         region: RegionName | None = None,
     ) -> Iterator[MemberRecord]:
-        """Records of live instances that take new work."""
+        """Yield the records of live instances that accept new work."""
         for record in self.live(now, settings, region):
             member = self.members[record.who.name]
             if record.status is MemberStatus.READY:
@@ -182,12 +184,15 @@
                     yield record
 
     def seen_within(self, name: InstanceName, now: float, age: float) -> bool:
-        """Whether an instance was heard in the last ``age`` seconds."""
+        """Return whether a record was received in the last ``age`` seconds."""
         member = self.members.get(name)
         return member is not None and now - member.received_at < age
 
     def has_ended(self, who: Incarnation, now: float, age: float) -> bool:
-        """Whether an incarnation has ended: replaced, left or long silent."""
+        """Return whether an incarnation has ended.
+
+        It has if it was replaced, has left, or sent nothing for ``age``.
+        """
         member = self.members.get(who.name)
         if member is None:
             return True
@@ -197,14 +202,14 @@
             return True
         return now - member.received_at >= age
 
-    # -- what is sent
+    # -- sending
 
     def round_targets(
         self,
         now: float,
         settings: CoreSettings,
     ) -> list[InstanceName]:
-        """Choose the receivers of the next round, everybody in turn."""
+        """Choose the receivers of the next round, in round-robin order."""
         names = sorted(
             name
             for name, member in self.members.items()
@@ -212,10 +217,10 @@
             and now - member.received_at < 2 * settings.reclaim_after
         )
         self.counter += 1
-        return self._turn(names, settings.heartbeat_fanout)
+        return self._next_names(names, settings.heartbeat_fanout)
 
     def sample(self, settings: CoreSettings) -> tuple[MemberRecord, ...]:
-        """Records to pass on, all in turn."""
+        """Choose the records to forward, in round-robin order."""
         names = sorted(self.members)
         count = min(settings.heartbeat_sample, len(names))
         chosen = [
@@ -227,7 +232,7 @@
 
     # -- helpers
 
-    def _turn(self, names: list[str], count: int) -> list[str]:
+    def _next_names(self, names: list[str], count: int) -> list[str]:
         count = min(count, len(names))
         chosen = [
             names[(self.cursor + step) % len(names)] for step in range(count)
@@ -244,8 +249,8 @@
             self.members[name] = Member(record, now)
             return True
         old = member.record
-        age = (record.who.number, record.counter)
-        if age <= (old.who.number, old.counter):
+        version = (record.who.number, record.counter)
+        if version <= (old.who.number, old.counter):
             return False
         member.record = record
         member.received_at = now
--- a/worksrail/core/permits/__init__.py
+++ b/worksrail/core/permits/__init__.py
@@ -1,4 +1,4 @@
-"""Permits: bounded rights shared between instances, lent on demand."""
+"""Permits: limited rights to send work, shared and lent between instances."""
 
 from worksrail.core.permits._holdings import Group, Hold, NoPermit, Pool
 from worksrail.core.permits._ledger import PermitLedger
--- a/worksrail/core/permits/_available.py
+++ b/worksrail/core/permits/_available.py
@@ -1,4 +1,4 @@
-"""A set of pools from which a random few can be drawn at constant cost."""
+"""A set of pools from which random samples are drawn in constant time."""
 
 import random
 from dataclasses import dataclass, field
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True)
 class AvailablePools:
-    """Keys in a list, with the position of each, for constant-time draws.
+    """Pool keys in a list with an index, for constant-time sampling.
 
     >>> pools = AvailablePools()
     >>> pools.add(PoolKey('slot/a'))
@@ -17,23 +17,23 @@
     """
 
     keys: list[PoolKey] = field(default_factory=list)
-    """The members, in no order."""
+    """The keys, in no particular order."""
 
     positions: dict[PoolKey, int] = field(default_factory=dict)
-    """Position of each member in the list."""
+    """Position of each key in the list."""
 
     def __len__(self) -> int:
-        """Count the members."""
+        """Return the number of pools."""
         return len(self.keys)
 
     def add(self, key: PoolKey) -> None:
-        """Add a member; nothing happens when it is one."""
+        """Add a pool, unless it is in the set."""
         if key not in self.positions:
             self.positions[key] = len(self.keys)
             self.keys.append(key)
 
     def remove(self, key: PoolKey) -> None:
-        """Remove a member; nothing happens when it is none."""
+        """Remove a pool, if it is in the set."""
         position = self.positions.pop(key, None)
         if position is None:
             return
@@ -43,7 +43,7 @@
             self.positions[last] = position
 
     def draw(self, source: random.Random, count: int) -> list[PoolKey]:
-        """Draw a few members at random, without repetition."""
+        """Draw up to ``count`` pools at random, without repetition."""
         if len(self.keys) <= count:
             return list(self.keys)
         return source.sample(self.keys, count)
--- a/worksrail/core/permits/_holdings.py
+++ b/worksrail/core/permits/_holdings.py
@@ -1,4 +1,4 @@
-"""What an instance holds of a pool, and of pools that are lent together."""
+"""The permits of an instance, by pool and by group of pools."""
 
 from dataclasses import dataclass, field
 from enum import Enum, unique
@@ -19,22 +19,22 @@
     """Sentinel: why no permit could be taken."""
 
     UNKNOWN_POOL = 'the pool is not configured'
-    RATE_LIMITED = 'all upstreams name limits, and there is no token'
+    RATE_LIMITED = 'all upstreams have rate limits and no token is available'
     ALL_IN_USE = 'all permits are in use, lent or expired'
 
 
 @dataclass(frozen=True, slots=True)
 class Hold:
-    """One permit held for one request."""
+    """A permit held for a request."""
 
     pool: PoolKey
-    """Pool it is from."""
+    """Pool of the permit."""
 
     loan: int
-    """Number of the borrowed loan it is from; zero for an own permit."""
+    """Number of the loan that it was borrowed with; zero if not borrowed."""
 
     not_after: float
-    """The request must have started before that time."""
+    """Time before which the request must start."""
 
 
 @dataclass(slots=True)
@@ -42,16 +42,16 @@
     """The state of one pool on this instance."""
 
     key: PoolKey
-    """Which pool."""
+    """Key of the pool."""
 
     group: GroupKey
-    """Group it is lent with."""
+    """Group of pools that are lent together with this one."""
 
     versions: dict[int, PoolSpec]
-    """Split by generation, of all generations that may be in force."""
+    """Split by generation, for each generation that may be in force."""
 
     share: int = 0
-    """Permits of the held seats that are in force."""
+    """Own permits: those of the held seats, under every split in force."""
 
     in_use: int = 0
     """Own permits that requests hold."""
@@ -60,18 +60,21 @@
     """Own permits that are lent."""
 
     borrowed: dict[int, BorrowedLoan] = field(default_factory=dict)
-    """Loans with permits of this pool."""
+    """Loans with permits of this pool, by number."""
 
     max_in_use: int | None = None
-    """Most permits to use at once for now; slow start sets it."""
+    """Maximum number of permits in use at once; None for no maximum.
+
+    It is set while the upstream is ejected, drained or in slow start.
+    """
 
     @property
     def idle(self) -> int:
-        """Own permits neither in use nor lent; negative after a cut."""
+        """Own permits neither in use nor lent; negative if the share shrank."""
         return self.share - self.in_use - self.lent
 
     def borrowed_idle(self, now: float) -> int:
-        """Borrowed permits on which a request may start now."""
+        """Return the borrowed permits on which a request may start now."""
         return sum(
             loan.parts[self.key].count - loan.parts[self.key].in_use
             for loan in self.borrowed.values()
@@ -80,13 +83,13 @@
 
     @property
     def total_in_use(self) -> int:
-        """Permits that requests hold, own and borrowed."""
+        """Permits in use, own and borrowed."""
         return self.in_use + sum(
             loan.parts[self.key].in_use for loan in self.borrowed.values()
         )
 
     def available(self, now: float) -> int:
-        """Permits on which a request may start now."""
+        """Return the number of permits on which a request may start now."""
         free = max(0, self.idle)
         if self.borrowed:
             free += self.borrowed_idle(now)
@@ -100,19 +103,19 @@
     """Pools that are lent together."""
 
     key: GroupKey
-    """Which group."""
+    """Key of the group."""
 
     pools: list[PoolKey] = field(default_factory=list)
-    """Its pools."""
+    """Keys of its pools."""
 
     available: AvailablePools = field(default_factory=AvailablePools)
-    """Those of its pools with a permit to take."""
+    """Those of its pools with an available permit."""
 
     in_use: int = 0
     """Permits that requests hold, own and borrowed."""
 
     share: int = 0
-    """Permits of the held seats that are in force."""
+    """Own permits: those of the held seats, under every split in force."""
 
     lent: int = 0
     """Own permits that are lent."""
@@ -122,5 +125,5 @@
 
     @property
     def usable(self) -> int:
-        """Permits this instance may use at once."""
+        """Permits that this instance may use at once."""
         return max(0, self.share - self.lent + self.borrowed)
--- a/worksrail/core/permits/_lending.py
+++ b/worksrail/core/permits/_lending.py
@@ -1,10 +1,10 @@
-"""When to borrow, when to lend, and when to give back.
+"""When to borrow permits, when to lend them and when to return them.
 
-An instance asks the others of its region for permits when its own run low,
-ahead of need where it can.  It lends what it does not need itself, going by
-its own recent peak; so the share of its seats stays its guaranteed minimum,
-as in the elastic quotas of the paper named in ``docs/design/permits.md``.
-What is lent is recalled when the lender itself runs short.
+An instance requests permits from another one of its region when few of its
+own are free, if possible before it runs out.  It lends permits that it does
+not need, judging by its recent peak, and recalls loans when requests wait for
+permits.  The share of its seats thus remains its guaranteed minimum, as in
+the elastic quotas of the paper cited in ``docs/design/permits.md``.
 """
 
 from collections.abc import Iterable, Iterator
@@ -26,13 +26,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LoanMessage:
-    """A message of the lending protocol and who shall get it."""
+    """A message of the lending protocol with its receiver."""
 
     receiver: Incarnation
-    """Who shall get it."""
+    """Instance that it is sent to."""
 
     message: LoanRequest | LoanGrant | LoanReturn | LoanRecall
-    """What to say."""
+    """The message."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,46 +40,46 @@
     """Another instance of the region, as a possible lender."""
 
     who: Incarnation
-    """Which instance."""
+    """The instance."""
 
     idle: int | None
-    """Idle permits it told of last; None when it tells nothing."""
+    """Idle permits that it last advertised; None if it advertised nothing."""
 
 
 @dataclass(slots=True)
-class OpenAsk:
-    """A loan request without an answer."""
+class PendingRequest:
+    """A loan request that awaits its answer."""
 
     lender: Incarnation
-    """Who was asked."""
+    """Instance that the request was sent to."""
 
     group: GroupKey
-    """For which group."""
+    """Group of pools whose permits were requested."""
 
-    asked_at: float
-    """When."""
+    requested_at: float
+    """When the request was sent."""
 
 
 @dataclass(slots=True)
 class Demand:
-    """Recent need for the permits of a group."""
+    """Recent demand for the permits of a group."""
 
     peak: int = 0
-    """Most permits in use in this window."""
+    """Maximum of permits in use in the current window."""
 
-    before: int = 0
-    """Most permits in use in the window before."""
+    previous_peak: int = 0
+    """Maximum of permits in use in the previous window."""
 
     shortage: int = 0
-    """Requests that wait for a permit."""
+    """Number of requests that wait for a permit."""
 
-    refused: dict[str, float] = field(default_factory=dict)
-    """Lenders that had nothing, and until when not to ask them."""
+    backoff_until: dict[str, float] = field(default_factory=dict)
+    """Until when no permits are requested from a lender, by its name."""
 
     @property
     def recent_peak(self) -> int:
-        """Most permits in use in the last two windows."""
-        return max(self.peak, self.before)
+        """Maximum of permits in use in the current and previous window."""
+        return max(self.peak, self.previous_peak)
 
 
 @dataclass(slots=True)
@@ -87,40 +87,40 @@
     """The borrowing and lending decisions of one instance."""
 
     settings: CoreSettings
-    """Times of the protocol."""
+    """Durations and timeouts of the protocol."""
 
     ledger: PermitLedger
-    """Where the permits are counted."""
+    """The permits of this instance."""
 
-    asks: dict[int, OpenAsk] = field(default_factory=dict)
-    """Loan requests without an answer."""
+    pending: dict[int, PendingRequest] = field(default_factory=dict)
+    """Pending loan requests by number of the loan."""
 
-    last_loan: int = 0
-    """Number of the last loan asked for."""
+    last_number: int = 0
+    """Number of the last loan that was requested."""
 
     demands: dict[GroupKey, Demand] = field(default_factory=dict)
-    """Recent need by group."""
+    """Recent demand by group."""
 
     window_ends_at: float = 0
-    """When the window of the peaks ends."""
+    """When the current window of the peaks ends."""
 
-    # -- need
+    # -- demand
 
     def record_use(self, key: GroupKey) -> None:
-        """Count the permits in use toward the peak."""
+        """Update the peak with the permits in use."""
         demand = self.demand(key)
         demand.peak = max(demand.peak, self.ledger.groups[key].in_use)
 
     def set_shortage(self, key: GroupKey, waiting: int) -> None:
-        """Set how many requests wait for a permit."""
+        """Set the number of requests that wait for a permit."""
         self.demand(key).shortage = waiting
 
     def demand(self, key: GroupKey) -> Demand:
-        """Recent need for the permits of a group."""
+        """Return the recent demand for the permits of a group."""
         return self.demands.setdefault(key, Demand())
 
     def wanted(self, key: GroupKey) -> int:
-        """How many permits to borrow now; zero when there are enough."""
+        """Return how many permits to borrow now; zero if there are enough."""
         group = self.ledger.groups.get(key)
         if group is None:
             return 0
@@ -128,7 +128,7 @@
         if demand.shortage:
             return demand.shortage + _low_water(group)
         free = group.usable - group.in_use
-        growing = demand.peak >= demand.before and demand.peak > 0
+        growing = demand.peak >= demand.previous_peak and demand.peak > 0
         low = _low_water(group)
         return low if growing and free < low else 0
 
@@ -140,16 +140,16 @@
         lenders: Iterable[Lender],
         now: float,
     ) -> Iterator[LoanMessage]:
-        """Ask one lender for permits, if some are wanted."""
+        """Request permits from one lender, if some are wanted."""
         wanted = self.wanted(key)
-        if not wanted or self._is_asking(key):
+        if not wanted or self._has_pending(key):
             return
-        lender = self._choose(self.demand(key), lenders, now)
+        lender = self._choose_lender(self.demand(key), lenders, now)
         if lender is None:
             return
-        self.last_loan += 1
-        self.asks[self.last_loan] = OpenAsk(lender, key, now)
-        yield LoanMessage(lender, LoanRequest(self.last_loan, key, wanted))
+        self.last_number += 1
+        self.pending[self.last_number] = PendingRequest(lender, key, now)
+        yield LoanMessage(lender, LoanRequest(self.last_number, key, wanted))
 
     def on_grant(
         self,
@@ -157,21 +157,23 @@
         sender: Incarnation,
         now: float,
     ) -> Iterator[LoanMessage]:
-        """Take up a grant or a renewal; return what came too late."""
+        """Add a granted loan or a renewal; return a grant that is too late."""
         if grant.sequence:
             self.ledger.extend(grant, now)
             return
-        # An ask is answered once: a repeated grant finds it closed, so
-        # what has been returned meanwhile is not used again.
-        ask = self.asks.get(grant.loan)
-        if ask is None or ask.lender != sender:
+        # A duplicate grant matches no pending request: permits that have
+        # been returned since the first one are not used again.
+        request = self.pending.get(grant.loan)
+        if request is None or request.lender != sender:
             return
-        self.asks.pop(grant.loan)
-        demand = self.demand(ask.group)
+        self.pending.pop(grant.loan)
+        demand = self.demand(request.group)
         if not grant.parts:
-            demand.refused[sender.name] = now + self.settings.loan_idle / 2
+            demand.backoff_until[sender.name] = (
+                now + self.settings.loan_idle / 2
+            )
             return
-        if not self.ledger.borrow(grant, sender, ask.asked_at, now):
+        if not self.ledger.borrow(grant, sender, request.requested_at, now):
             yield LoanMessage(sender, LoanReturn(grant.loan, ()))
 
     def on_recall(
@@ -180,17 +182,17 @@
         sender: Incarnation,
         now: float,
     ) -> Iterator[LoanMessage]:
-        """Return what is idle of a recalled loan, the rest when it ends."""
+        """Return the idle permits of a recalled loan, the others on release."""
         loan = self.ledger.loans.get(recall.loan)
         if loan and loan.lender == sender:
             loan.recalled = True
-            yield self._return(loan, now)
+            yield self._return_idle(loan, now)
 
     def on_release(self, number: int, now: float) -> Iterator[LoanMessage]:
-        """Return permits of an ended loan as soon as they are free."""
+        """Return permits of an ended loan as soon as they are idle."""
         loan = self.ledger.loans.get(number)
         if loan and not loan.usable(now):
-            yield self._return(loan, now)
+            yield self._return_idle(loan, now)
 
     # -- lending
 
@@ -202,19 +204,19 @@
         *,
         leaving: bool = False,
     ) -> LoanMessage:
-        """Lend what the own recent peak leaves free, or renew a loan."""
-        loan = LoanId(sender, request.loan)
+        """Renew a loan, or lend permits that the recent peak leaves idle."""
+        loan_id = LoanId(sender, request.loan)
         key = GroupKey(request.group)
         if request.sequence:
-            grant = self.ledger.renew(loan, key, request.sequence, now)
+            grant = self.ledger.renew(loan_id, key, request.sequence, now)
         else:
             spare = self.lendable(key, leaving=leaving)
             count = min(request.count, spare)
-            grant = self.ledger.lend(loan, key, count, now)
+            grant = self.ledger.lend(loan_id, key, count, now)
         return LoanMessage(sender, grant)
 
     def lendable(self, key: GroupKey, *, leaving: bool = False) -> int:
-        """Permits that may be lent now."""
+        """Return the number of permits that may be lent now."""
         group = self.ledger.groups.get(key)
         if group is None:
             return 0
@@ -224,76 +226,81 @@
         demand = self.demand(key)
         if demand.shortage:
             return 0
-        # Half of the way back to the recent peak: the whole way keeps idle
-        # what others wait for, none sends loans to and fro.
+        # Reserve half of the distance to the recent peak: all of it would
+        # hold back permits that peers wait for, and without a reserve loans
+        # would be granted and recalled in turn.
         reserve = max(0, demand.recent_peak - group.in_use) // 2
         return max(0, idle - reserve)
 
     # -- time
 
     def tick(self, now: float) -> Iterator[LoanMessage]:
-        """Renew, return, recall and forget what is due."""
-        self._turn_window(now)
+        """Renew, return, recall and expire the loans that are due."""
+        self._start_window(now)
         self.ledger.expire(now)
-        late = now - self.settings.ask_timeout
+        sent_before = now - self.settings.ask_timeout
         overdue = [
-            number for number, ask in self.asks.items() if ask.asked_at <= late
+            number
+            for number, request in self.pending.items()
+            if request.requested_at <= sent_before
         ]
         for number in overdue:
-            ask = self.asks.pop(number)
-            refused = self.demand(ask.group).refused
-            refused[ask.lender.name] = now + self.settings.loan_duration
-            yield LoanMessage(ask.lender, LoanReturn(number, ()))
+            request = self.pending.pop(number)
+            backoff = self.demand(request.group).backoff_until
+            backoff[request.lender.name] = now + self.settings.loan_duration
+            yield LoanMessage(request.lender, LoanReturn(number, ()))
         for loan in tuple(self.ledger.loans.values()):
-            yield from self._tend(loan, now)
-        yield from self._recalls()
+            yield from self._maintain(loan, now)
+        yield from self._recall()
 
     def return_all_loans(self, now: float) -> Iterator[LoanMessage]:
-        """Return everything idle and use no loan again."""
+        """Return all idle borrowed permits; no loan is used again."""
         for loan in tuple(self.ledger.loans.values()):
             loan.recalled = True
-            yield self._return(loan, now)
+            yield self._return_idle(loan, now)
 
     def mark_all_recalled(self) -> None:
-        """Renew nothing that is lent; it all comes back in time."""
+        """Stop renewing lent loans, so that each ends with its duration."""
         for lent in self.ledger.lent.values():
             lent.recalled = True
 
     # -- helpers
 
-    def _is_asking(self, key: GroupKey) -> bool:
-        return any(ask.group == key for ask in self.asks.values())
+    def _has_pending(self, key: GroupKey) -> bool:
+        return any(one.group == key for one in self.pending.values())
 
-    def _choose(
+    def _choose_lender(
         self,
         demand: Demand,
         lenders: Iterable[Lender],
         now: float,
     ) -> Incarnation | None:
-        fit = [
+        candidates = [
             lender
             for lender in lenders
-            if demand.refused.get(lender.who.name, now) <= now
+            if demand.backoff_until.get(lender.who.name, now) <= now
             and lender.idle != 0
         ]
-        if not fit:
+        if not candidates:
             return None
-        best = max(fit, key=lambda one: (one.idle or 0, one.who.name))
+        best = max(candidates, key=lambda one: (one.idle or 0, one.who.name))
         return best.who
 
-    def _turn_window(self, now: float) -> None:
+    def _start_window(self, now: float) -> None:
         if now < self.window_ends_at:
             return
         self.window_ends_at = now + self.settings.loan_idle
         for key, demand in self.demands.items():
             group = self.ledger.groups.get(key)
-            demand.before = demand.peak
+            demand.previous_peak = demand.peak
             demand.peak = group.in_use if group else 0
 
-    def _tend(self, loan: BorrowedLoan, now: float) -> Iterator[LoanMessage]:
+    def _maintain(
+        self, loan: BorrowedLoan, now: float
+    ) -> Iterator[LoanMessage]:
         if not loan.usable(now):
             if _idle_permits(loan):
-                yield self._return(loan, now)
+                yield self._return_idle(loan, now)
             return
         group = self.ledger.groups[loan.group]
         demand = self.demand(loan.group)
@@ -301,54 +308,54 @@
             loan.idle_since = now
         elif now - loan.idle_since >= self.settings.loan_idle:
             if not demand.shortage:
-                yield self._return(loan, now)
+                yield self._return_idle(loan, now)
                 return
         unneeded = group.usable - demand.recent_peak - _low_water(group)
         idle = _idle_permits(loan)
         if unneeded > 0 and idle > 0 and not demand.shortage:
             keep = max(0, idle - unneeded)
-            yield self._return(loan, now, keep=keep)
-        yield from self._renewal(loan, now)
+            yield self._return_idle(loan, now, keep=keep)
+        yield from self._renew(loan, now)
 
-    def _renewal(self, loan: BorrowedLoan, now: float) -> Iterator[LoanMessage]:
+    def _renew(self, loan: BorrowedLoan, now: float) -> Iterator[LoanMessage]:
         if loan.number not in self.ledger.loans:
             return
         half = self.settings.loan_duration / 2
-        asked = loan.asked_at.get(loan.sequence)
-        waiting = asked is not None and (
+        asked = loan.requested_at.get(loan.sequence)
+        pending = asked is not None and (
             now - asked < self.settings.ask_timeout
         )
-        if loan.expires_at - now < half and not waiting:
+        if loan.expires_at - now < half and not pending:
             loan.sequence += 1
-            loan.asked_at[loan.sequence] = now
+            loan.requested_at[loan.sequence] = now
             yield LoanMessage(
                 loan.lender,
                 LoanRequest(loan.number, loan.group, 0, loan.sequence),
             )
 
-    def _return(
+    def _return_idle(
         self,
         loan: BorrowedLoan,
         now: float,
         *,
         keep: int = 0,
     ) -> LoanMessage:
-        message = self.ledger.give_back(loan.number, now, keep=keep)
+        message = self.ledger.return_idle(loan.number, now, keep=keep)
         return LoanMessage(loan.lender, message)
 
-    def _recalls(self) -> Iterator[LoanMessage]:
+    def _recall(self) -> Iterator[LoanMessage]:
         for lent in self.ledger.lent.values():
-            short = self.demand(lent.group).shortage
-            if short and not lent.recalled:
+            shortage = self.demand(lent.group).shortage
+            if shortage and not lent.recalled:
                 lent.recalled = True
                 yield LoanMessage(
-                    lent.loan.borrower, LoanRecall(lent.loan.number)
+                    lent.loan_id.borrower, LoanRecall(lent.loan_id.number)
                 )
 
 
 def _low_water(group: Group) -> int:
-    # A tenth of what is usable, so that a loan's round trip is not on a
-    # request's way.
+    # With a tenth of the usable permits free, a loan arrives before requests
+    # have to wait for its round trip.
     return 1 + group.usable // 10
 
 
--- a/worksrail/core/permits/_loans.py
+++ b/worksrail/core/permits/_loans.py
@@ -1,4 +1,4 @@
-"""The two ends of a loan of permits: the borrower's and the lender's."""
+"""Loans of permits, as recorded by the borrower and by the lender."""
 
 from dataclasses import dataclass, field
 
@@ -14,36 +14,36 @@
     """Permits of the loan that have not been returned."""
 
     in_use: int = 0
-    """How many of them a request holds."""
+    """Number of them that requests hold."""
 
 
 @dataclass(slots=True)
 class BorrowedLoan:
-    """A loan as its borrower sees it."""
+    """A loan, as recorded by its borrower."""
 
     number: int
     """Number chosen by the borrower."""
 
     lender: Incarnation
-    """Who lent it."""
+    """Instance that lent it."""
 
     group: GroupKey
-    """Group of pools it is from."""
+    """Group that its pools belong to."""
 
     expires_at: float
-    """No request may start on it from then on, by the own clock."""
+    """Time by the local clock from which no request may start on it."""
 
     parts: dict[PoolKey, BorrowedPart]
-    """What was lent."""
+    """Borrowed permits by pool."""
 
     recalled: bool = False
-    """The lender wants it back: no request may start on it."""
+    """The lender recalled it, or it is ending: no request may start on it."""
 
-    asked_at: dict[int, float] = field(default_factory=dict)
-    """When each renewal that is still open was asked for."""
+    requested_at: dict[int, float] = field(default_factory=dict)
+    """When each pending renewal was requested, by sequence number."""
 
     sequence: int = 0
-    """Number of the last renewal asked for."""
+    """Sequence number of the last renewal request."""
 
     idle_since: float = 0
     """When it was last in use."""
@@ -60,10 +60,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LoanId:
-    """Names a loan over all instances."""
+    """Identifies a loan among all instances."""
 
     borrower: Incarnation
-    """Who borrowed."""
+    """Instance that borrowed."""
 
     number: int
     """Number chosen by the borrower."""
@@ -71,19 +71,19 @@
 
 @dataclass(slots=True)
 class LentLoan:
-    """A loan as its lender sees it."""
+    """A loan, as recorded by its lender."""
 
-    loan: LoanId
-    """Which loan."""
+    loan_id: LoanId
+    """Identifier of the loan."""
 
     group: GroupKey
-    """Group of pools it is from."""
+    """Group that its pools belong to."""
 
-    until: float
-    """From then on nothing can run on it any more, by the own clock."""
+    ends_at: float
+    """Time by the local clock from which no request can run on it."""
 
     counts: dict[PoolKey, int]
-    """What is lent and not returned."""
+    """Permits lent and not returned, by pool."""
 
     recalled: bool = False
-    """A return was asked for; it is not renewed."""
+    """It was recalled, or is not renewed for another reason."""
--- a/worksrail/core/permits/_pool.py
+++ b/worksrail/core/permits/_pool.py
@@ -1,4 +1,4 @@
-"""Pools of permits, their split into seats, and the keys that name them."""
+"""Pools of permits, how they are split over seats, and their keys."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -18,57 +18,58 @@
     """What one permit of a pool allows."""
 
     SLOT = 'slot'
-    """One request in an upstream's slot."""
+    """One request in progress at an upstream."""
 
     FLIGHT = 'flight'
-    """One shifted request in flight."""
+    """One request in flight that was shifted from another region."""
 
     RATE = 'rate'
-    """The start of one shifted request within a second."""
+    """The start of one shifted request per second."""
 
 
 def slot_pool(upstream: str) -> PoolKey:
-    """Key of the pool with the slots of one upstream."""
+    """Return the key of the pool with the slots of one upstream."""
     return PoolKey(_SEPARATOR.join((PoolKind.SLOT.value, upstream)))
 
 
 def cap_pool(kind: PoolKind, service: str, source: str) -> PoolKey:
-    """Key of a shift-cap pool, for traffic from a source region."""
+    """Return the key of a pool that caps traffic from a source region."""
     return PoolKey(_SEPARATOR.join((kind.value, service, source)))
 
 
 def slot_group(service: str) -> GroupKey:
-    """Key of the group with all slot pools of a service."""
+    """Return the key of the group with all slot pools of a service."""
     return GroupKey(_SEPARATOR.join(('slots', service)))
 
 
 def cap_group(pool: PoolKey) -> GroupKey:
-    """Key of the group that consists of one cap pool."""
+    """Return the key of the group that consists of one cap pool."""
     return GroupKey(_SEPARATOR.join(('cap', pool)))
 
 
 @dataclass(frozen=True, slots=True)
 class PoolSpec:
-    """How one generation splits one pool over the seats of a region."""
+    """Split of a pool over the seats of a region, in one generation."""
 
     key: PoolKey
-    """Which pool."""
+    """Key of the pool."""
 
     group: GroupKey
-    """Group it is lent with."""
+    """Group of pools that are lent together with this one."""
 
     limit: int
-    """All permits of the pool, over all seats."""
+    """Total permits of the pool, over all seats."""
 
     seats: int
-    """Number of seats the permits are split into."""
+    """Number of seats that the permits are split over."""
 
 
 def seat_share(spec: PoolSpec, seat: int) -> int:
-    """Permits of the pool that belong to one seat.
+    """Return the permits of the pool that belong to one seat.
 
-    The shares of all seats add up to the limit.  The remainder goes to
-    different seats for different pools, so that no seat gets all of them.
+    The shares of all seats add up to the limit.  Which seats get one permit
+    of the remainder depends on the pool, so that no seat gets the remainders
+    of all pools.
 
     >>> spec = PoolSpec(PoolKey('slot/a'), GroupKey('slots/s'), 9, 3)
     >>> [seat_share(spec, seat) for seat in range(3)]
@@ -76,16 +77,16 @@
     """
     if not 0 <= seat < spec.seats:
         return 0
-    each, rest = divmod(spec.limit, spec.seats)
-    first = xxhash.xxh32_intdigest(spec.key.encode()) % spec.seats
-    return each + ((seat - first) % spec.seats < rest)
+    base, remainder = divmod(spec.limit, spec.seats)
+    offset = xxhash.xxh32_intdigest(spec.key.encode()) % spec.seats
+    return base + ((seat - offset) % spec.seats < remainder)
 
 
-def seats_share(specs: Iterable[PoolSpec], seats: Iterable[int]) -> int:
-    """Permits that the given seats may use while all specs may be in force.
+def smallest_share(specs: Iterable[PoolSpec], seats: Iterable[int]) -> int:
+    """Return the permits that the seats may use under every given split.
 
-    While some instance may still work by an older split, each seat uses no
-    more than the smallest share any of the splits gives it.
+    While an instance may still use an older split, each seat is limited to
+    the smallest share that any of the splits assigns to it.
     """
     versions = tuple(specs)
     return sum(
--- a/worksrail/core/permits/_seat_table.py
+++ b/worksrail/core/permits/_seat_table.py
@@ -1,7 +1,7 @@
-"""The record of who holds which seat of a region, kept in the store.
+"""The table of seat holders of a region, kept in the store.
 
-The table changes only by conditional update.  All functions here are pure:
-they give the next table, and the store decides whether it comes into force.
+The table changes only by conditional updates.  All functions here are pure:
+they return the next table, and the store accepts it or reports a conflict.
 """
 
 from typing import Final
@@ -14,43 +14,43 @@
 
 
 class SeatRecord(msgspec.Struct, frozen=True):
-    """Holder of one seat."""
+    """The holder of one seat."""
 
     seat: int
     """Number of the seat."""
 
     holder: Incarnation = NO_INCARNATION
-    """Who holds it; an empty name when it was never held."""
+    """Instance that holds the seat; an empty name if it was never held."""
 
     epoch: int = 0
-    """Grows by one on a handover and to a higher thousand on a claim."""
+    """Grows by one on a handover, to the next multiple of 1000 on a claim."""
 
     intent: Incarnation = NO_INCARNATION
-    """Who wants to claim it because its holder seems gone."""
+    """Instance that intends to claim it, as its holder seems to have ended."""
 
 
 class SeatTable(msgspec.Struct, frozen=True):
     """All seats of a region."""
 
     region: RegionName
-    """Which region."""
+    """Name of the region."""
 
     seats: tuple[SeatRecord, ...]
     """One record for each seat."""
 
     @classmethod
     def empty(cls, region: RegionName, count: int) -> 'SeatTable':
-        """Table of a region whose seats were never held."""
+        """Create the table of a region whose seats were never held."""
         return cls(region, tuple(SeatRecord(seat) for seat in range(count)))
 
-    def grown(self, count: int) -> 'SeatTable':
-        """The table with at least ``count`` seats."""
-        more = range(len(self.seats), count)
-        seats = self.seats + tuple(SeatRecord(seat) for seat in more)
+    def extended(self, count: int) -> 'SeatTable':
+        """Return the table with at least ``count`` seats."""
+        added = range(len(self.seats), count)
+        seats = self.seats + tuple(SeatRecord(seat) for seat in added)
         return SeatTable(self.region, seats)
 
-    def replaced(self, record: SeatRecord) -> 'SeatTable':
-        """The table with another record for one seat."""
+    def with_record(self, record: SeatRecord) -> 'SeatTable':
+        """Return the table with the record of one seat replaced."""
         seats = tuple(
             record if old.seat == record.seat else old for old in self.seats
         )
@@ -58,7 +58,7 @@
 
 
 def claim_epoch(epoch: int) -> int:
-    """Epoch of a claim: above every handover that may be unrecorded.
+    """Return the epoch of a claim, above that of any unrecorded handover.
 
     >>> claim_epoch(2003)
     3000
@@ -72,7 +72,7 @@
 
 
 def decode_seats(payload: bytes) -> SeatTable | msgspec.ValidationError:
-    """Decode a table; an error object when it is not one of ours."""
+    """Decode a table; return an error if the payload is not a seat table."""
     try:
         return msgspec.json.decode(payload, type=SeatTable)
     except msgspec.ValidationError as error:
