--- a/worksrail/core/permits/_seats.py
+++ b/worksrail/core/permits/_seats.py
@@ -1,15 +1,16 @@
-"""Which seats this instance holds, and how seats change hands.
-
-A seat changes hands in two ways.  Its holder *offers* it to one incarnation
-and never uses it again; this needs no store.  Or, when its holder has gone,
-another instance *claims* it through the store: an intent must have stood in
-the table, uncontested, for as long as anything of the old holder could run.
-The claim is a conditional update, so of two claimants one wins.
-
-A claim is refused as long as any instance that the platform lists as live in
-the region is not heard, or anybody heard holds the seat.  An instance that
-hears nobody at all, store included, lets its permits rest well before such
-a claim can come to an end.
+"""The seats that this instance holds, and how seats are transferred.
+
+A seat is transferred in one of two ways.  Its holder *offers* it to one
+incarnation and never uses it again; this does not involve the store.  Or,
+when its holder has ended, another instance *claims* it through the store: an
+intent must have been in the table, uncontested, for as long as requests of
+the old holder could still run.  The claim is a conditional update, so only
+one of two claimants succeeds.
+
+No claim is made while a heartbeat is missing of any instance that the
+platform lists as live in the region, or while an instance whose heartbeats
+arrive holds the seat.  An instance that reaches no peer and no store stops
+using its permits well before such a claim can succeed.
 """
 
 from dataclasses import dataclass, field
@@ -33,24 +34,24 @@
 
 @dataclass(slots=True)
 class OpenOffer:
-    """A seat on its way to another instance."""
+    """An offer of a seat that has not been accepted yet."""
 
     offer: SeatOffer
-    """What is offered and to whom."""
+    """The message to the receiver."""
 
     sent_at: float = float('-inf')
-    """When it was last sent; once sent it cannot be withdrawn."""
+    """When it was last sent; an offer once sent cannot be withdrawn."""
 
 
 @dataclass(frozen=True, slots=True)
 class SeatContext:
-    """What the seat decisions need to know of the rest of the instance."""
+    """State of the instance that the seat decisions depend on."""
 
     membership: Membership
     """The other instances."""
 
     settings: CoreSettings
-    """Times."""
+    """Timeouts."""
 
     now: float
     """Monotonic time in seconds."""
@@ -61,7 +62,7 @@
 
 @dataclass(slots=True)
 class SeatManager:
-    """The seats of one instance and what it knows of the table."""
+    """The seats of one instance and the latest seat table."""
 
     own: Incarnation
     """This instance."""
@@ -70,13 +71,13 @@
     """Its region."""
 
     started_at: float
-    """When this incarnation began."""
+    """When this incarnation started."""
 
     held: dict[int, int] = field(default_factory=dict)
-    """Epoch of each seat that is held."""
+    """Epoch of each seat that this instance holds."""
 
     offers: dict[int, OpenOffer] = field(default_factory=dict)
-    """Seats on their way to others."""
+    """Offers to other instances, by seat."""
 
     table: SeatTable | None = None
     """The newest table read."""
@@ -85,24 +86,24 @@
     """Its version."""
 
     read_at: float | None = None
-    """When the table was last read; None before the first time."""
+    """When the table was last read; None before the first read."""
 
     wanted_seats: int = 0
-    """Number of seats that the bundle asks for."""
+    """Number of seats that the bundle configures."""
 
     writing: bool = False
-    """An update is on its way."""
+    """Whether an update of the table is in progress."""
 
     unheld_since: dict[int, float] = field(default_factory=dict)
-    """Since when nobody heard holds a seat."""
+    """Since when no instance advertises that it holds a seat, by seat."""
 
     intents: dict[int, float] = field(default_factory=dict)
     """When an own intent was first seen in the table, by seat."""
 
     known_epochs: dict[int, int] = field(default_factory=dict)
-    """Highest epoch heard of, by seat."""
+    """Highest known epoch by seat."""
 
-    # -- what is seen
+    # -- observations
 
     def on_table(
         self,
@@ -110,7 +111,7 @@
         version: int,
         now: float,
     ) -> list[int]:
-        """Take in a table read; give the seats that were lost by it."""
+        """Store a table read; return the seats that were lost by it."""
         self.read_at = now
         if version < self.version:
             return []
@@ -120,11 +121,11 @@
         for record in lost:
             self.held.pop(record.seat, None)
             self.offers.pop(record.seat, None)
-        self._note_intents(now)
+        self._update_intents(now)
         return [record.seat for record in lost]
 
     def on_offer(self, offer: SeatOffer) -> SeatTaken | None:
-        """Take a seat that is offered to this incarnation."""
+        """Accept a seat that is offered to this incarnation."""
         if offer.receiver != self.own:
             return None
         if offer.epoch > self.known_epochs.get(offer.seat, -1):
@@ -133,34 +134,34 @@
         return SeatTaken(offer.seat, offer.epoch)
 
     def on_offer_accepted(self, answer: SeatTaken) -> None:
-        """End an offer that was taken."""
+        """Drop an offer that was accepted."""
         offer = self.offers.get(answer.seat)
         if offer and offer.offer.epoch == answer.epoch:
             self.offers.pop(answer.seat)
 
     def observe(self, view: SeatContext) -> None:
-        """Keep account of seats that nobody heard holds."""
-        spoken_for = set(self.held) | set(self.offers)
-        for record in self._heard_here(view):
+        """Update since when no instance advertises a seat as held."""
+        taken = set(self.held) | set(self.offers)
+        for record in self._recent_records(view):
             for held in record.seats:
-                spoken_for.add(held.seat)
-                self._note_epoch(held)
+                taken.add(held.seat)
+                self._record_epoch(held)
         for number in range(self._seat_count()):
-            if number in spoken_for:
+            if number in taken:
                 self.unheld_since.pop(number, None)
             else:
                 self.unheld_since.setdefault(number, view.now)
 
-    # -- what is done
+    # -- transfers and claims
 
     def offer(self, seat: int, receiver: Incarnation) -> None:
-        """Stop using a seat for good and offer it to another instance."""
+        """Permanently stop using a seat and offer it to another instance."""
         epoch = self.held.pop(seat) + 1
         self.known_epochs[seat] = epoch
         self.offers[seat] = OpenOffer(SeatOffer(seat, epoch, receiver))
 
     def drop_stale_offers(self, view: SeatContext) -> None:
-        """End offers whose receiver has gone; the seat is then claimed."""
+        """Drop offers whose receiver has ended; the seats get claimed."""
         for seat, open_offer in tuple(self.offers.items()):
             receiver = open_offer.offer.receiver
             if view.membership.has_ended(
@@ -169,23 +170,23 @@
                 self.offers.pop(seat)
 
     def withdraw(self, seat: int) -> None:
-        """Take back an offer that was never sent."""
+        """Withdraw an offer that was never sent."""
         open_offer = self.offers.pop(seat)
         self.held[seat] = open_offer.offer.epoch
 
     def next_table(self, view: SeatContext) -> SeatTable | None:
-        """The table as this instance would have it; None for no change."""
+        """Return the table to write; None if it needs no change."""
         if self.table is None or self.writing or self.read_at is None:
             return None
-        table = self.table.grown(self.wanted_seats)
+        table = self.table.extended(self.wanted_seats)
         for record in table.seats:
-            wanted = self._wanted_record(record, view)
-            if wanted != record:
-                table = table.replaced(wanted)
+            desired = self._desired_record(record, view)
+            if desired != record:
+                table = table.with_record(desired)
         return None if table == self.table else table
 
     def adopt_recorded_seats(self) -> list[int]:
-        """Hold the seats that the table gives this incarnation."""
+        """Hold the seats that the table assigns to this incarnation."""
         gained = []
         for record in self.table.seats if self.table else ():
             known = self.known_epochs.get(record.seat, -1)
@@ -199,36 +200,44 @@
         self,
         view: SeatContext,
     ) -> tuple[int, Incarnation] | None:
-        """A seat to give to an instance that has none, if this one has two."""
+        """Return a seat and an instance without seats to transfer it to.
+
+        None unless this instance holds at least two seats.
+        """
         if len(self.held) < 2 or self.offers:
             return None
-        needy = [
+        without_seats = [
             record.who
             for record in view.membership.accepting_work(
                 view.now, view.settings, self.region
             )
             if not record.seats
         ]
-        if not needy:
+        if not without_seats:
             return None
         seat = max(self.held)
-        name = rendezvous(f'surplus/{seat}', [who.name for who in needy])
-        return seat, next(who for who in needy if who.name == name)
+        name = rendezvous(
+            f'surplus/{seat}', [who.name for who in without_seats]
+        )
+        return seat, next(who for who in without_seats if who.name == name)
 
     def successor(self, view: SeatContext) -> Incarnation | None:
-        """Who takes the seats of a leaving instance: fewest seats first."""
-        open_records = list(
+        """Return the instance with the fewest seats, to take over the seats.
+
+        None if no live instance of the region accepts work.
+        """
+        records = list(
             view.membership.accepting_work(view.now, view.settings, self.region)
         )
-        if not open_records:
+        if not records:
             return None
         return min(
-            open_records,
+            records,
             key=lambda record: (len(record.seats), record.who.name),
         ).who
 
     def drop_all_seats(self) -> None:
-        """Give up all seats without handing them on."""
+        """Drop all seats without transferring them."""
         self.held.clear()
         self.offers.clear()
         self.intents.clear()
@@ -239,23 +248,23 @@
         recorded = len(self.table.seats) if self.table else 0
         return max(recorded, self.wanted_seats)
 
-    def _heard_here(self, view: SeatContext) -> list[MemberRecord]:
-        alive = view.settings.dead_after * view.membership.timeout_factor(
+    def _recent_records(self, view: SeatContext) -> list[MemberRecord]:
+        timeout = view.settings.dead_after * view.membership.timeout_factor(
             view.settings
         )
         return [
             member.record
             for member in view.membership.members.values()
-            if view.now - member.received_at < alive
+            if view.now - member.received_at < timeout
             and member.record.status is not MemberStatus.LEFT
             and member.record.place.region == self.region
         ]
 
-    def _note_epoch(self, seat: HeldSeat) -> None:
+    def _record_epoch(self, seat: HeldSeat) -> None:
         known = self.known_epochs.get(seat.seat, -1)
         if seat.epoch > known:
             self.known_epochs[seat.seat] = seat.epoch
-            # Somebody holds it under a newer epoch than this instance.
+            # The advertising instance holds it under a newer epoch.
             self.held.pop(seat.seat, None)
 
     def _is_lost(self, record: SeatRecord) -> bool:
@@ -265,28 +274,28 @@
             epoch = open_offer.offer.epoch
         return 0 <= epoch < record.epoch and record.holder != self.own
 
-    def _note_intents(self, now: float) -> None:
+    def _update_intents(self, now: float) -> None:
         records = self.table.seats if self.table else ()
-        mine = {one.seat for one in records if one.intent == self.own}
+        seats = {one.seat for one in records if one.intent == self.own}
         self.intents = {
-            seat: self.intents.get(seat, now) for seat in sorted(mine)
+            seat: self.intents.get(seat, now) for seat in sorted(seats)
         }
 
-    def _wanted_record(
+    def _desired_record(
         self, record: SeatRecord, view: SeatContext
     ) -> SeatRecord:
         epoch = self.held.get(record.seat)
         if epoch is not None:
-            return self._defended(record, epoch)
+            return self._reasserted(record, epoch)
         if view.status is not MemberStatus.READY:
             return record
         if not self._may_claim(record, view):
             return self._without_own_intent(record)
-        if not record.holder.name or self._is_own_past(record, view):
+        if not record.holder.name or self._held_by_predecessor(record, view):
             return self._claimed(record)
-        return self._pursued(record, view)
+        return self._claim_step(record, view)
 
-    def _defended(self, record: SeatRecord, epoch: int) -> SeatRecord:
+    def _reasserted(self, record: SeatRecord, epoch: int) -> SeatRecord:
         if record.epoch > epoch:
             return record
         return SeatRecord(record.seat, self.own, epoch)
@@ -299,12 +308,12 @@
     def _claimed(self, record: SeatRecord) -> SeatRecord:
         return SeatRecord(record.seat, self.own, claim_epoch(record.epoch))
 
-    def _pursued(self, record: SeatRecord, view: SeatContext) -> SeatRecord:
+    def _claim_step(self, record: SeatRecord, view: SeatContext) -> SeatRecord:
         unheld = self.unheld_since.get(record.seat, view.now)
         if view.now - unheld < view.settings.reclaim_after:
             return record
         if record.intent != self.own:
-            if self._is_pursued_by_another(record, view):
+            if self._has_other_intent(record, view):
                 return record
             return SeatRecord(
                 record.seat, record.holder, record.epoch, self.own
@@ -314,12 +323,12 @@
             return record
         return self._claimed(record)
 
-    def _is_pursued_by_another(
+    def _has_other_intent(
         self,
         record: SeatRecord,
         view: SeatContext,
     ) -> bool:
-        # Two claimants that replace each other's intents would both fail.
+        # Claimants that overwrite each other's intents would never succeed.
         settings = view.settings
         unheld = view.now - self.unheld_since.get(record.seat, view.now)
         return unheld < 4 * settings.reclaim_after and (
@@ -328,14 +337,16 @@
             )
         )
 
-    def _is_own_past(self, record: SeatRecord, view: SeatContext) -> bool:
-        # The same name runs once: its earlier process has ended, and what
-        # it lent or sent has ended after this time.
-        rest = view.settings.loan_duration + view.settings.longest_run
+    def _held_by_predecessor(
+        self, record: SeatRecord, view: SeatContext
+    ) -> bool:
+        # At most one process runs under a name, so the earlier one has ended;
+        # loans that it granted and requests that it sent end within this time.
+        drain_time = view.settings.loan_duration + view.settings.longest_run
         return (
             record.holder.name == self.own.name
             and record.holder.number < self.own.number
-            and view.now - self.started_at >= rest
+            and view.now - self.started_at >= drain_time
         )
 
     def _may_claim(self, record: SeatRecord, view: SeatContext) -> bool:
@@ -343,11 +354,11 @@
             return False
         if record.seat not in self.unheld_since:
             return False
-        if record.holder.name and not self._all_listed_heard(view):
+        if record.holder.name and not self._all_listed_seen(view):
             return False
-        return self._is_claimant(record.seat, view)
+        return self._is_preferred_claimant(record.seat, view)
 
-    def _all_listed_heard(self, view: SeatContext) -> bool:
+    def _all_listed_seen(self, view: SeatContext) -> bool:
         listed = view.membership.listed
         if listed is None:
             return False
@@ -359,7 +370,7 @@
             if instance.region == self.region and name != self.own.name
         )
 
-    def _is_claimant(self, seat: int, view: SeatContext) -> bool:
+    def _is_preferred_claimant(self, seat: int, view: SeatContext) -> bool:
         counts = {self.own.name: len(self.held)}
         for record in view.membership.accepting_work(
             view.now, view.settings, self.region
@@ -369,6 +380,6 @@
         names = [name for name, count in counts.items() if count == fewest]
         if rendezvous(f'claim/{self.region}/{seat}', names) == self.own.name:
             return True
-        # The instance whose turn it is may not reach the store.
+        # The preferred claimant may be unable to reach the store.
         waited = view.now - self.unheld_since.get(seat, view.now)
         return waited >= 2 * view.settings.reclaim_after
--- a/worksrail/core/requests/__init__.py
+++ b/worksrail/core/requests/__init__.py
@@ -1,4 +1,4 @@
-"""Requests: tickets, memory of executed keys, queue, retry budget."""
+"""Requests: tickets, the memory of idempotency keys, queue, retry budget."""
 
 from worksrail.core.requests._budget import RetryBudget
 from worksrail.core.requests._head import ArrivalPath, NoTicket, RequestHead
--- a/worksrail/core/requests/_budget.py
+++ b/worksrail/core/requests/_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget of a service: retries are a share of successes."""
+"""The retry budget of a service: retries are limited to a part of successes."""
 
 import math
 from collections.abc import Mapping
@@ -7,14 +7,16 @@
 
 @dataclass(slots=True)
 class RetryBudget:
-    """Earned by successes, spent by retries; so retries never multiply load.
+    """A token bucket that successes fill and retries drain.
 
-    Retries are saved up on seats.  A seat has one holder, and what was saved
-    on it does not go with it.  All instances together therefore never have
-    more saved up than fits on all seats, however many of them stop and start.
+    Retries thus cannot multiply the load.  The capacity is proportional to
+    the seats that the instance holds.  A seat has one holder, and its tokens
+    are not transferred with it.  The tokens of all instances together
+    therefore never exceed the capacity of all seats, however many instances
+    stop and start.
 
     >>> budget = RetryBudget(ratio=0.5)
-    >>> budget.follow({0: 1}, each=1)
+    >>> budget.follow({0: 1}, max_per_seat=1)
     >>> budget.spend()
     False
     >>> budget.record_success(now=1)
@@ -27,57 +29,57 @@
     """
 
     ratio: float
-    """Retries earned by each success."""
+    """Tokens that each success adds."""
 
-    each: float = 0
-    """Most retries that can be saved up on one seat."""
+    max_per_seat: float = 0
+    """Maximum number of tokens for each seat."""
 
     seats: dict[int, int] = field(default_factory=dict)
-    """Epochs of the seats that it is saved up on."""
+    """Epoch of each seat that this instance holds."""
 
     tokens: float = 0
-    """Retries saved up."""
+    """Available retries."""
 
-    recent: float = 0
-    """Successes, fading within a second: about those of the last second."""
+    success_rate: float = 0
+    """Successes per second, as an exponentially decaying sum."""
 
-    earned_at: float = 0
-    """When the last success was counted."""
+    updated_at: float = 0
+    """When the last success was recorded."""
 
-    def follow(self, seats: Mapping[int, int], each: float) -> None:
-        """Save up on these seats; what was saved on others is lost."""
-        if each == self.each and seats == self.seats:
+    def follow(self, seats: Mapping[int, int], max_per_seat: float) -> None:
+        """Set the seats that are held; tokens of other seats are lost."""
+        if max_per_seat == self.max_per_seat and seats == self.seats:
             return
-        stayed = self.seats.items() & seats.items()
-        self.tokens = min(self.tokens, each * len(stayed))
+        kept = self.seats.items() & seats.items()
+        self.tokens = min(self.tokens, max_per_seat * len(kept))
         self.seats = dict(seats)
-        self.each = each
+        self.max_per_seat = max_per_seat
 
     def record_success(self, now: float) -> None:
-        """Count a success."""
-        room = self.each * len(self.seats)
-        self.tokens = min(room, self.tokens + self.ratio)
-        self.recent = 1 + self._faded(now)
-        self.earned_at = now
+        """Add the tokens of one success."""
+        capacity = self.max_per_seat * len(self.seats)
+        self.tokens = min(capacity, self.tokens + self.ratio)
+        self.success_rate = 1 + self._decayed_rate(now)
+        self.updated_at = now
 
     def expected_wait(self, ahead: int, now: float) -> float:
-        """Seconds until a retry is earned after those that wait already."""
+        """Return the seconds until a retry is allowed after those ahead."""
         if not self.seats:
             return math.inf
-        pace = self.ratio * self._faded(now)
-        return (ahead + 1 - self.tokens) / pace if pace else math.inf
+        rate = self.ratio * self._decayed_rate(now)
+        return (ahead + 1 - self.tokens) / rate if rate else math.inf
 
     @property
     def has_retry(self) -> bool:
-        """Whether a retry is left."""
+        """Whether a retry is allowed now."""
         return self.tokens >= 1
 
     def spend(self) -> bool:
-        """Spend a retry; false when none is left."""
+        """Spend a token for a retry; return false if there is none."""
         if not self.has_retry:
             return False
         self.tokens -= 1
         return True
 
-    def _faded(self, now: float) -> float:
-        return self.recent * math.exp(self.earned_at - now)
+    def _decayed_rate(self, now: float) -> float:
+        return self.success_rate * math.exp(self.updated_at - now)
--- a/worksrail/core/requests/_head.py
+++ b/worksrail/core/requests/_head.py
@@ -1,4 +1,4 @@
-"""What the decisions need to know of a request."""
+"""The head of a request, as the decisions need it."""
 
 from dataclasses import dataclass
 from enum import Enum, unique
@@ -10,14 +10,14 @@
 
 @unique
 class NoTicket(Enum):
-    """Sentinel: the request came without a ticket."""
+    """Sentinel: the request carries no ticket."""
 
-    NOT_GIVEN = 'no ticket was given'
+    NOT_GIVEN = 'the request carries no ticket'
 
 
 @unique
 class ArrivalPath(Enum):
-    """How a request came to this instance."""
+    """How a request reached this instance."""
 
     DIRECT = 'from a caller'
     SHIFTED = 'from another region, to be served here'
@@ -29,7 +29,7 @@
     """A request without its body."""
 
     trace: str
-    """Identifier found again in logs and on the time line."""
+    """Trace identifier, as in logs and on the time line."""
 
     host: str
     """Host name of the service."""
@@ -44,7 +44,7 @@
     """IP address of the caller."""
 
     timeout: float | None = None
-    """Seconds the caller allows; None for the service's own limit."""
+    """Timeout in seconds set by the caller; None for that of the service."""
 
     ticket: Ticket | TicketFault | NoTicket = NoTicket.NOT_GIVEN
     """The verified ticket, or why there is none."""
@@ -53,13 +53,13 @@
     """The caller's idempotency key."""
 
     passing: ArrivalPath = ArrivalPath.DIRECT
-    """How it came here."""
+    """How it reached this instance."""
 
     home: RegionName = ''
-    """Home region of the caller, when another instance determined it."""
+    """Home region of the caller, if another instance determined it."""
 
     key_digest: KeyDigest = ''
-    """Digest of the caller's API key; empty if none came."""
+    """Digest of the caller's API key; empty if it sent none."""
 
     customer: CustomerName = ''
-    """The caller's customer, when another instance determined it."""
+    """Customer of the caller, if another instance determined it."""
--- a/worksrail/core/requests/_memory.py
+++ b/worksrail/core/requests/_memory.py
@@ -1,8 +1,8 @@
 """The memory of executed idempotency keys.
 
-Entries stay for longer than any ticket can be used, by the same clock that
-judges the tickets.  When the memory is full, new keys are refused; a key is
-never forgotten early to make room.
+A key is kept for longer than any ticket is valid, by the clock that also
+decides whether tickets are valid.  When the memory is full, new keys are
+refused; no key is evicted early to free space.
 """
 
 from dataclasses import dataclass, field
@@ -11,23 +11,23 @@
 
 @unique
 class KeyState(Enum):
-    """What is known of a key."""
+    """State of an idempotency key."""
 
-    FREE = 'never seen, or never executed'
+    FREE = 'not seen, or not executed'
     IN_PROGRESS = 'being executed'
-    EXECUTED = 'executed, or perhaps executed'
+    EXECUTED = 'executed, or possibly executed'
     FULL = 'the memory is full'
 
 
 @dataclass(slots=True)
 class _Entry:
     state: KeyState
-    expires: float
+    expires_at: float
 
 
 @dataclass(slots=True)
 class KeyMemory:
-    """Keys with their states, oldest first.
+    """Idempotency keys with their states, oldest first.
 
     >>> memory = KeyMemory(limit=10, retention=60)
     >>> memory.claim('a', wall=0), memory.claim('a', wall=1)
@@ -35,17 +35,17 @@
     """
 
     limit: int
-    """Most keys that are remembered."""
+    """Maximum number of keys."""
 
     retention: float
-    """For how long a key is remembered, in seconds."""
+    """How long a key is kept, in seconds."""
 
     entries: dict[str, _Entry] = field(default_factory=dict)
     """Entries in the order of their expiry."""
 
     def claim(self, key: str, wall: float) -> KeyState:
-        """Claim a key for execution; ``FREE`` means that it may run."""
-        self._purge(wall)
+        """Claim a key; ``FREE`` means that the request may be executed."""
+        self._remove_expired(wall)
         entry = self.entries.get(key)
         if entry:
             return entry.state
@@ -55,7 +55,7 @@
         return KeyState.FREE
 
     def finish(self, key: str, *, executed: bool) -> None:
-        """Say whether a claimed key was, or may have been, executed."""
+        """Record whether a claimed request was, or may have been, executed."""
         entry = self.entries.get(key)
         if entry is None:
             return
@@ -64,10 +64,10 @@
         else:
             self.entries.pop(key)
 
-    def _purge(self, wall: float) -> None:
+    def _remove_expired(self, wall: float) -> None:
         while self.entries:
             oldest = next(iter(self.entries))
             entry = self.entries[oldest]
-            if entry.expires > wall or entry.state is KeyState.IN_PROGRESS:
+            if entry.expires_at > wall or entry.state is KeyState.IN_PROGRESS:
                 return
             self.entries.pop(oldest)
--- a/worksrail/core/requests/_queue.py
+++ b/worksrail/core/requests/_queue.py
@@ -1,4 +1,4 @@
-"""The short, bounded queue of requests that wait for a slot."""
+"""A bounded queue of requests that wait for a slot."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -8,77 +8,77 @@
 
 @dataclass(frozen=True, slots=True)
 class QueuedRequest:
-    """A request that waits."""
+    """A request in the queue."""
 
     request: RequestId
-    """Which request."""
+    """Number of the request."""
 
     give_up_at: float
-    """When it is refused if no slot became free."""
+    """When it is refused unless a slot became free."""
 
 
 @dataclass(slots=True)
 class RequestQueue:
     """Requests of one service in the order of arrival.
 
-    A request enters only when it is expected to leave in time; one that
-    would outlast its own patience is refused at once, as *not run*.
+    A request is queued only if it is expected to get a slot in time; one
+    whose expected wait exceeds its timeout is refused at once, as *not run*.
     """
 
     limit: int
-    """Most requests that wait."""
+    """Maximum number of requests in the queue."""
 
     entries: deque[QueuedRequest] = field(default_factory=deque)
-    """Waiting requests, oldest first."""
+    """Queued requests, oldest first."""
 
-    gone: set[RequestId] = field(default_factory=set)
-    """Requests among the entries that were taken out."""
+    removed: set[RequestId] = field(default_factory=set)
+    """Requests among the entries that were removed from the queue."""
 
     def __len__(self) -> int:
-        """Count the waiting requests."""
-        return len(self.entries) - len(self.gone)
+        """Return the number of queued requests."""
+        return len(self.entries) - len(self.removed)
 
-    def expected_wait(self, service_time: float, servers: int) -> float:
-        """Seconds until a request that enters now would be served."""
-        if servers <= 0:
+    def expected_wait(self, service_time: float, slots: int) -> float:
+        """Return the expected seconds until a slot for a request queued now."""
+        if slots <= 0:
             return float('inf')
-        return (len(self) + 1) * service_time / servers
+        return (len(self) + 1) * service_time / slots
 
     def put(self, waiting: QueuedRequest) -> bool:
-        """Let a request wait; false when the queue is full."""
+        """Queue a request; return false if the queue is full."""
         if len(self) >= self.limit:
             return False
         self.entries.append(waiting)
         return True
 
     def pop(self) -> QueuedRequest | None:
-        """Take out the oldest request."""
+        """Remove and return the oldest request."""
         while self.entries:
             waiting = self.entries.popleft()
-            if waiting.request not in self.gone:
+            if waiting.request not in self.removed:
                 return waiting
-            self.gone.discard(waiting.request)
+            self.removed.discard(waiting.request)
         return None
 
     def put_first(self, waiting: QueuedRequest) -> None:
-        """Let a request wait at the front again."""
+        """Put a request back at the front of the queue."""
         self.entries.appendleft(waiting)
 
     def remove(self, request: RequestId) -> None:
-        """Take out a request wherever it stands."""
-        self.gone.add(request)
+        """Remove a request from any position."""
+        self.removed.add(request)
 
     def expired(self, now: float) -> list[RequestId]:
-        """Take out and give the requests whose patience has ended."""
-        late = [
+        """Remove and return the requests whose waiting time has expired."""
+        expired = [
             waiting.request
             for waiting in self.entries
-            if waiting.give_up_at <= now and waiting.request not in self.gone
+            if waiting.give_up_at <= now and waiting.request not in self.removed
         ]
-        self.gone.update(late)
-        self._compact()
-        return late
+        self.removed.update(expired)
+        self._drop_removed()
+        return expired
 
-    def _compact(self) -> None:
-        while self.entries and self.entries[0].request in self.gone:
-            self.gone.discard(self.entries.popleft().request)
+    def _drop_removed(self) -> None:
+        while self.entries and self.entries[0].request in self.removed:
+            self.removed.discard(self.entries.popleft().request)
--- a/worksrail/core/requests/_tickets.py
+++ b/worksrail/core/requests/_tickets.py
@@ -1,10 +1,10 @@
-"""Tickets: which incarnation alone may run a request.
+"""Tickets bind non-idempotent requests to one incarnation of an instance.
 
 A look-up answer carries a ticket.  It names an instance and its incarnation.
 Only that incarnation runs non-idempotent requests under the ticket, and it
-remembers their keys for as long as the ticket can be used.  Any other
-instance passes the request on or, when that incarnation has gone, answers
-that the outcome is unknown.
+keeps their idempotency keys for as long as the ticket is valid.  Any other
+instance passes the request on to it or, if that incarnation has ended,
+answers that the outcome is unknown.
 """
 
 import base64
@@ -21,25 +21,25 @@
 from worksrail.core.identity import Incarnation, ServiceName
 
 _MAC_BYTES: Final = 16
-_TICKET_LIMIT: Final = 512
+_MAX_TICKET_CHARACTERS: Final = 512
 
 
 @unique
 class TicketFault(Enum):
-    """Sentinel: why a text is no ticket."""
+    """Sentinel: why a text is not a valid ticket."""
 
-    MALFORMED = 'the text is no ticket'
+    MALFORMED = 'the text is not a ticket'
     FORGED = 'the signature does not match any key'
 
 
 class Ticket(msgspec.Struct, frozen=True, array_like=True):
-    """The right to run requests of one service at one incarnation."""
+    """The right to run requests of one service on one incarnation."""
 
     owner: Incarnation
-    """The only incarnation that may run requests under it."""
+    """The only incarnation that may run requests under the ticket."""
 
     service: ServiceName
-    """The service it is for."""
+    """Service that it is valid for."""
 
     expires: float
     """Wall-clock time in seconds after which it is refused."""
@@ -49,8 +49,8 @@
 class TicketSigner:
     """Signs and verifies tickets with keys shared by all instances.
 
-    The first key signs, all keys verify; so a key is replaced by adding the
-    new one everywhere, then moving it to the front, then dropping the old.
+    The first key signs, and all keys verify.  To rotate a key, add the new
+    one on all instances, then move it to the front, then remove the old one.
 
     >>> signer = TicketSigner((b'k' * 32,))
     >>> ticket = Ticket(Incarnation('ala-norte-1', 1), 'pedidos', 5)
@@ -62,14 +62,14 @@
     """Secret keys, newest first."""
 
     def sign(self, ticket: Ticket) -> str:
-        """Text of a ticket."""
+        """Encode and sign a ticket."""
         payload = msgspec.msgpack.encode(ticket)
         signed = _mac(self.keys[0], payload) + payload
         return base64.urlsafe_b64encode(signed).decode().rstrip('=')
 
     def verify(self, text: str) -> Ticket | TicketFault:
-        """Read a ticket; says why when it is none of ours."""
-        if len(text) > _TICKET_LIMIT:
+        """Decode a ticket; return a fault if it is malformed or forged."""
+        if len(text) > _MAX_TICKET_CHARACTERS:
             return TicketFault.MALFORMED
         padded = text + '=' * (-len(text) % 4)
         try:
--- a/worksrail/core/requests/active.py
+++ b/worksrail/core/requests/active.py
@@ -1,4 +1,4 @@
-"""A request that has been admitted and is not yet ended."""
+"""A request that was admitted and has not ended yet."""
 
 from dataclasses import dataclass, field
 from enum import Enum, unique
@@ -13,88 +13,90 @@
 
 @unique
 class RequestState(Enum):
-    """Where a request is."""
+    """Processing state of a request."""
 
     NEW = 'not placed yet'
     WAITING = 'waits for a slot'
     WAITING_FOR_BUDGET = 'waits until the budget allows a retry'
-    WAITING_FOR_QUOTA = "waits for the word of who keeps its customer's quota"
+    WAITING_FOR_QUOTA = (
+        "waits for the owner of its customer's quota to admit it"
+    )
     SENT = 'sent to an upstream'
     PASSED = 'passed to another instance'
 
 
 @dataclass(slots=True)
 class ActiveRequest:
-    """A request that has been admitted and is not yet ended."""
+    """A request that was admitted and has not ended yet."""
 
     number: int
-    """Number of the arrival."""
+    """Identifier of the request on this instance."""
 
     head: RequestHead
     """The request without its body."""
 
     service: ServiceName
-    """Service it is for."""
+    """Service that it is sent to."""
 
     home: RegionName
     """Home region of the caller."""
 
     deadline: float
-    """When it is given up."""
+    """Time at which it is abandoned."""
 
     idempotent: bool
     """Whether it may be repeated."""
 
     customer: CustomerName = ''
-    """Whose request it is; empty if nobody's."""
+    """Customer of the caller; empty if none."""
 
     admitted: bool = False
-    """It counts against the quota of its customer."""
+    """Whether it counts against the quota of its customer."""
 
     state: RequestState = RequestState.NEW
-    """Where it is."""
+    """Processing state."""
 
     attempts: int = 0
-    """Times it was sent or passed."""
+    """Number of times it was sent or passed."""
 
     holds: tuple[Hold, ...] = ()
     """Permits held for it."""
 
     upstream: PoolKey | None = None
-    """Slot pool of the upstream it was sent to."""
+    """Slot pool of the upstream that it was sent to."""
 
     sent_at: float = 0
     """When it was last sent."""
 
     tried: set[PoolKey] = field(default_factory=set)
-    """Upstreams that failed it."""
+    """Upstreams at which it failed."""
 
     tried_regions: set[RegionName] = field(default_factory=set)
     """Regions that refused it."""
 
     claimed_key: str = ''
-    """Key that it claimed in the memory of executed keys."""
+    """Idempotency key that it claimed in the key memory."""
 
     passed_to: InstanceName = ''
-    """Instance it was last passed to."""
+    """Instance that it was last passed to."""
 
     to_owner: bool = False
-    """It was passed to the owner of its ticket."""
+    """Whether it was passed to the owner of its ticket."""
 
     fingerprint: Fingerprint = 0
-    """What it has in common with its repetitions by the caller."""
+    """Hash of what it has in common with repetitions by the caller."""
 
     crash_number: int = 0
-    """Which one in a row a crash of its present attempt would be."""
+    """Number that a crash in the current attempt has in its series."""
 
     maybe_executed: bool = False
-    """An earlier attempt may have been executed."""
+    """Whether an earlier attempt may have been executed."""
 
     failed_with: ResultCode | None = None
-    """Why it is to be sent again; None once the budget has paid for that."""
+    """Why it is to be retried; None once the budget allowed the retry."""
 
     caller_gone: bool = False
-    """The caller went away; the answer is discarded."""
+    """Whether the caller has disconnected; the answer is then discarded."""
 
     peer_retry_after: float = 0
-    """When another instance said to come back, in seconds."""
+    """Seconds after which another instance said to retry."""
--- a/worksrail/core/routing/__init__.py
+++ b/worksrail/core/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Routing: upstream health, slow start, ejection, rise limits."""
+"""Routing: upstream health, slow start, ejection, limits on rate increases."""
 
 from worksrail.core.routing._health import LatencyAverage, UpstreamHealth
 from worksrail.core.routing._rise_limit import RiseLimit
--- a/worksrail/core/routing/_health.py
+++ b/worksrail/core/routing/_health.py
@@ -1,8 +1,8 @@
-"""What is known of an upstream's health, from own answers and reports.
+"""The health of upstreams, from observed answers and from load reports.
 
-Own observations come first.  A load report only shades the choice: its
-weight is bounded and fades with its age, so reports that stop, freeze or
-claim zero load cannot attract or repel much traffic.
+Observed answers take precedence.  A load report only adjusts the score: its
+weight is bounded and decays with its age, so reports that stop, freeze or
+claim zero load can neither attract nor repel much traffic.
 """
 
 import math
@@ -11,19 +11,19 @@
 
 from worksrail.core.settings import CoreSettings
 
-_LATENCY_WEIGHT: Final = 0.2
+_MIN_SAMPLE_WEIGHT: Final = 0.2
 _REPORT_WEIGHT: Final = 0.5
-_REPORT_FADE: Final = 2
-_MEMORY_FADE: Final = 10
-_FAILURE_LIMIT: Final = 5
+_REPORT_DECAY_S: Final = 2
+_LATENCY_DECAY_S: Final = 10
+_MAX_FAILURES: Final = 5
 _SLOW_FACTOR: Final = 4
 _MIN_SAMPLES: Final = 5
-_LONGEST_EJECTION: Final = 60
+_MAX_EJECTION_S: Final = 60
 
 
 @dataclass(slots=True)
 class LatencyAverage:
-    """Moving average of service times, in seconds."""
+    """Exponential moving average of service times, in seconds."""
 
     average: float = 0
     """The average; zero before the first sample."""
@@ -32,9 +32,9 @@
     """Number of samples."""
 
     def add(self, seconds: float) -> None:
-        """Count one sample."""
+        """Add a sample."""
         self.samples += 1
-        weight = max(_LATENCY_WEIGHT, 1 / self.samples)
+        weight = max(_MIN_SAMPLE_WEIGHT, 1 / self.samples)
         self.average += weight * (seconds - self.average)
 
 
@@ -43,67 +43,70 @@
     """Observations of one upstream by this instance."""
 
     latency: LatencyAverage = field(default_factory=LatencyAverage)
-    """Own service times."""
+    """Service times that this instance observed."""
 
     last_answer_at: float = 0
     """When it last answered."""
 
     last_success_at: float = -math.inf
-    """When it last answered well."""
+    """When it last answered without a failure."""
 
     failures: int = 0
-    """Failures in a row."""
+    """Number of consecutive failures."""
 
     ejections: int = 0
-    """Ejections since it last worked well."""
+    """Number of ejections since its last success."""
 
     ejected_until: float = 0
-    """Until when it gets no work."""
+    """Until when it gets no requests."""
 
     trial: bool = False
-    """An ejection has ended and its next answer decides."""
+    """Whether an ejection has ended and its next answer decides."""
 
     cold_since: float | None = None
-    """When it began to get work again; None when it is warm."""
+    """When its slow start began; None if it is warm."""
 
     report: float = 0
-    """Share of its slots that it last reported in use."""
+    """Share of its slots in use, as it last reported."""
 
-    reported_at: float = float('-inf')
-    """When it reported."""
+    report_received_at: float = float('-inf')
+    """When the last report was received."""
 
     def record_report(self, load: float, now: float) -> None:
-        """Take in a load report, bounded to a sensible share."""
+        """Store a load report, clamped to the range from 0 to 1."""
         if math.isfinite(load):
             self.report = min(1, max(0, load))
-            self.reported_at = now
+            self.report_received_at = now
 
     def score(self, typical: float, now: float) -> float:
-        """Expected service time, shaded by the report; lower is better."""
+        """Return the expected service time, adjusted by the load report.
+
+        A lower score is better.
+        """
         latency = typical
         if self.latency.samples:
-            faded = math.exp((self.last_answer_at - now) / _MEMORY_FADE)
-            latency += (self.latency.average - typical) * faded
+            decay = math.exp((self.last_answer_at - now) / _LATENCY_DECAY_S)
+            latency += (self.latency.average - typical) * decay
         weight = _REPORT_WEIGHT * math.exp(
-            (self.reported_at - now) / _REPORT_FADE
+            (self.report_received_at - now) / _REPORT_DECAY_S
         )
         return latency * (1 + weight * self.report)
 
     def is_outlier(self, typical: float) -> bool:
-        """Whether it fails, or is far slower than its service."""
-        if self.failures >= _FAILURE_LIMIT:
+        """Return whether it fails, or is far slower than its service."""
+        if self.failures >= _MAX_FAILURES:
             return True
         slow = self.latency.average > _SLOW_FACTOR * typical
         return slow and self.latency.samples >= _MIN_SAMPLES
 
     def eject(self, now: float, settings: CoreSettings) -> None:
-        """Give it no work for a time that doubles from one to the next."""
+        """Send it no requests for a time that doubles with each ejection."""
         time = settings.ejection_time * 2**self.ejections
         self.ejections += 1
-        self.ejected_until = now + min(_LONGEST_EJECTION, time)
+        self.ejected_until = now + min(_MAX_EJECTION_S, time)
 
     def begin_trial(self) -> None:
-        """Let one request at a time decide whether it has recovered."""
+        """Send it one request at a time to test whether it has recovered."""
         self.trial = True
         self.failures = 0
         self.latency = LatencyAverage()
@@ -111,9 +114,9 @@
     def max_in_use(
         self, slots: int, seats: int, slow_start: float, now: float
     ) -> int | None:
-        """Most requests to send it at once; None for no bound.
+        """Return the maximum of requests in flight to it; None for no maximum.
 
-        A cold upstream comes to its full slots over ``slow_start`` seconds.
+        A cold upstream gets its full slots over ``slow_start`` seconds.
         """
         if now < self.ejected_until:
             return 0
@@ -121,10 +124,10 @@
             return 1
         if self.cold_since is None:
             return None
-        warm = 1.0
+        progress = 1.0
         if slow_start:
-            warm = (now - self.cold_since) / slow_start
-        if warm >= 1:
+            progress = (now - self.cold_since) / slow_start
+        if progress >= 1:
             self.cold_since = None
             return None
-        return max(1, int(slots * warm / seats))
+        return max(1, int(slots * progress / seats))
--- a/worksrail/core/routing/_service.py
+++ b/worksrail/core/routing/_service.py
@@ -1,4 +1,4 @@
-"""The running state of one service on this instance."""
+"""The state of one service on this instance."""
 
 from dataclasses import dataclass, field
 from typing import Final
@@ -9,18 +9,18 @@
 from worksrail.core.routing._rise_limit import RiseLimit
 from worksrail.core.settings import CoreSettings
 
-_FIRST_GUESS: Final = 0.1
+_INITIAL_LATENCY_S: Final = 0.1
 
 
 @dataclass(slots=True)
 class ServiceState:
-    """Queue, budget and averages of one service."""
+    """Queues, retry budget and averages of one service."""
 
     queue: RequestQueue
     """Requests that wait for a slot."""
 
     budget: RetryBudget
-    """What may be retried."""
+    """Retry budget."""
 
     retries: RequestQueue
     """Requests that wait until the budget allows a retry."""
@@ -29,14 +29,14 @@
     """Service times over all upstreams."""
 
     rises: dict[RegionName, RiseLimit] = field(default_factory=dict)
-    """Rise of shifted traffic by source region."""
+    """Limits on the growth of shifted traffic, by source region."""
 
     ejected: int = 0
-    """Upstreams that are ejected."""
+    """Number of ejected upstreams."""
 
     @classmethod
     def from_settings(cls, settings: CoreSettings) -> 'ServiceState':
-        """State of a service that has had no request yet."""
+        """Create the state of a service without requests."""
         budget = RetryBudget(settings.retry_ratio)
         limit = settings.queue_limit
         return cls(RequestQueue(limit), budget, RequestQueue(limit))
@@ -44,8 +44,8 @@
     @property
     def typical_latency(self) -> float:
         """Typical service time in seconds."""
-        return self.latency.average or _FIRST_GUESS
+        return self.latency.average or _INITIAL_LATENCY_S
 
     def rise(self, source: RegionName) -> RiseLimit:
-        """Rise limit of traffic from a source region."""
+        """Return the limit on the growth of traffic from a source region."""
         return self.rises.setdefault(source, RiseLimit())
