--- a/worksrail/core/permits/_seats.py
+++ b/worksrail/core/permits/_seats.py
@@ -9,8 +9,8 @@
 
 No claim is made while a heartbeat is missing of any instance that the
 platform lists as live in the region, or while an instance whose heartbeats
-arrive holds the seat.  An instance that reaches no peer and no store stops
-using its permits well before such a claim can succeed.
+arrive holds the seat.  An instance that gets no heartbeats and no answers
+from the store stops using its permits well before such a claim can succeed.
 """
 
 from dataclasses import dataclass, field
@@ -161,7 +161,7 @@
         self.offers[seat] = OpenOffer(SeatOffer(seat, epoch, receiver))
 
     def drop_stale_offers(self, view: SeatContext) -> None:
-        """Drop offers whose receiver has ended; the seats get claimed."""
+        """Drop offers whose receiver has ended, so that seats get claimed."""
         for seat, open_offer in tuple(self.offers.items()):
             receiver = open_offer.offer.receiver
             if view.membership.has_ended(
@@ -202,7 +202,7 @@
     ) -> tuple[int, Incarnation] | None:
         """Return a seat and an instance without seats to transfer it to.
 
-        None unless this instance holds at least two seats.
+        None if this instance holds fewer than two seats or offers one already.
         """
         if len(self.held) < 2 or self.offers:
             return None
@@ -313,7 +313,7 @@
         if view.now - unheld < view.settings.reclaim_after:
             return record
         if record.intent != self.own:
-            if self._has_other_intent(record, view):
+            if self._defers_to_other_claimant(record, view):
                 return record
             return SeatRecord(
                 record.seat, record.holder, record.epoch, self.own
@@ -323,7 +323,7 @@
             return record
         return self._claimed(record)
 
-    def _has_other_intent(
+    def _defers_to_other_claimant(
         self,
         record: SeatRecord,
         view: SeatContext,
--- a/worksrail/core/routing/_health.py
+++ b/worksrail/core/routing/_health.py
@@ -49,7 +49,7 @@
     """When it last answered."""
 
     last_success_at: float = -math.inf
-    """When it last answered without a failure."""
+    """When it last answered successfully."""
 
     failures: int = 0
     """Number of consecutive failures."""
@@ -66,7 +66,7 @@
     cold_since: float | None = None
     """When its slow start began; None if it is warm."""
 
-    report: float = 0
+    reported_load: float = 0
     """Share of its slots in use, as it last reported."""
 
     report_received_at: float = float('-inf')
@@ -75,7 +75,7 @@
     def record_report(self, load: float, now: float) -> None:
         """Store a load report, clamped to the range from 0 to 1."""
         if math.isfinite(load):
-            self.report = min(1, max(0, load))
+            self.reported_load = min(1, max(0, load))
             self.report_received_at = now
 
     def score(self, typical: float, now: float) -> float:
@@ -90,7 +90,7 @@
         weight = _REPORT_WEIGHT * math.exp(
             (self.report_received_at - now) / _REPORT_DECAY_S
         )
-        return latency * (1 + weight * self.report)
+        return latency * (1 + weight * self.reported_load)
 
     def is_outlier(self, typical: float) -> bool:
         """Return whether it fails, or is far slower than its service."""
--- a/worksrail/core/routing/_service.py
+++ b/worksrail/core/routing/_service.py
@@ -28,7 +28,7 @@
     latency: LatencyAverage = field(default_factory=LatencyAverage)
     """Service times over all upstreams."""
 
-    rises: dict[RegionName, RiseLimit] = field(default_factory=dict)
+    rise_limits: dict[RegionName, RiseLimit] = field(default_factory=dict)
     """Limits on the growth of shifted traffic, by source region."""
 
     ejected: int = 0
@@ -48,4 +48,4 @@
 
     def rise(self, source: RegionName) -> RiseLimit:
         """Return the limit on the growth of traffic from a source region."""
-        return self.rises.setdefault(source, RiseLimit())
+        return self.rise_limits.setdefault(source, RiseLimit())
