--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -1,4 +1,4 @@
-"""Customers of bundles: keys, quotas over all entries, faults of bundles."""
+"""Customers in bundles: API keys, quotas over all entries, invalid bundles."""
 
 from collections import Counter
 from dataclasses import replace
@@ -57,7 +57,7 @@
   - {{name: acme, keys: [{_DIGESTS['old']}, {_DIGESTS['new']}]}}
   - {{name: small, keys: [{_DIGESTS['s']}], quota: {{rate: 20, burst: 10}}}}
 """
-_SETTLED = 8.0
+_STEADY_AT = 8.0
 
 
 def _bundle(customers: str = _CUSTOMERS) -> Bundle:
@@ -69,16 +69,16 @@
 def _world(bundle: Bundle) -> World:
     plan = WorldPlan(bundle, CoreSettings(), {'orders': 0.05, 'open': 0.05})
     world = World.from_plan(plan)
-    world.run_until(_SETTLED)
+    world.run_until(_STEADY_AT)
     return world
 
 
-def _send_key(world: World, key: str) -> None:
+def _set_key(world: World, key: str) -> None:
     world.callers.key_digest = digest_of_key(key.encode()) if key else ''
 
 
-def _results(world: World, service: str, key: str) -> ResultCode | None:
-    _send_key(world, key)
+def _request(world: World, service: str, key: str) -> ResultCode | None:
+    _set_key(world, key)
     outcome = world.callers.request(service, 'north')
     world.run_until(world.clock.now + 1)
     return outcome.code
@@ -95,24 +95,26 @@
         ('open', 'wrong', ResultCode.OK),
     ],
 )
-def test_key_decides_who_is_served(
+def test_key_is_required_unless_service_is_public(
     service: str, key: str, code: ResultCode
 ) -> None:
-    assert _results(_world(_bundle()), service, key) is code
+    assert _request(_world(_bundle()), service, key) is code
 
 
-def test_without_customers_nobody_needs_a_key() -> None:
+def test_no_key_is_needed_without_customers() -> None:
     world = _world(replace(_bundle(), customers=()))
-    assert _results(world, 'orders', '') is ResultCode.OK
+    assert _request(world, 'orders', '') is ResultCode.OK
 
 
-@pytest.mark.parametrize(('asked', 'most'), [(15, 0), (120, None)])
-def test_quota_holds_over_all_entries(asked: float, most: int | None) -> None:
-    # 20 a second and 10 at once, over three entries.
+@pytest.mark.parametrize(('asked', 'max_refused'), [(15, 0), (120, None)])
+def test_quota_holds_over_all_entries(
+    asked: float, max_refused: int | None
+) -> None:
+    # The quota is 20 per second with a burst of 10, over three entries.
     seconds = 5.0
     world = _world(_bundle())
     outcomes = []
-    _send_key(world, 's')
+    _set_key(world, 's')
     for number in range(int(asked * seconds)):
         world.clock.after(
             number / asked,
@@ -122,23 +124,24 @@
     codes = Counter(outcome.code for outcome in outcomes)
     refused = codes[ResultCode.QUOTA_REACHED]
     assert codes[ResultCode.OK] + refused == len(outcomes)
-    if most is not None:
-        assert refused <= most
+    if max_refused is not None:
+        assert refused <= max_refused
         return
     bound = 20 * seconds + 10
     assert 0.85 * bound < codes[ResultCode.OK] <= bound + 5
     waits = [
         one.retry_after for one in outcomes if one.code is not ResultCode.OK
     ]
-    # At the longest 2 s, spread by up to 0.3 of it; no two thirds alike.
+    # A delay is at most 2 s plus jitter of up to 0.3 of it, and more than a
+    # third of the delays are distinct.
     assert all(0 < wait <= 2.6 for wait in waits)
     assert len(set(waits)) > len(waits) / 3
 
 
-def test_quota_holds_for_what_comes_in_one_instant() -> None:
-    # 10 at once on top of the rate, over three entries.
+def test_quota_holds_for_simultaneous_requests() -> None:
+    # The burst is 10 above the rate, over three entries.
     world = _world(_bundle())
-    _send_key(world, 's')
+    _set_key(world, 's')
     outcomes = [world.callers.request('orders', 'north') for _ in range(60)]
     world.run_until(world.clock.now + 1)
     codes = Counter(outcome.code for outcome in outcomes)
@@ -146,9 +149,9 @@
     assert 10 <= codes[ResultCode.OK] <= 22
 
 
-def test_those_over_a_quota_are_told_to_come_back_at_different_times() -> None:
+def test_retry_delays_over_quota_are_spread() -> None:
     world = _world(_bundle())
-    _send_key(world, 's')
+    _set_key(world, 's')
     for _ in range(60):
         world.callers.request('orders', 'north')
     world.run_until(world.clock.now + 0.15)
@@ -193,7 +196,9 @@
         ),
     ],
 )
-def test_faults_of_customers(customers: str, place: str, problem: str) -> None:
+def test_invalid_customers_are_reported(
+    customers: str, place: str, problem: str
+) -> None:
     faults = parse_bundle(_TEXT.format(customers=customers))
     assert isinstance(faults, BundleFaults)
     assert faults.code is ResultCode.INVALID_BUNDLE
@@ -211,14 +216,14 @@
     assert unpacked.customers == bundle.customers
 
 
-def test_example_can_be_rolled() -> None:
+def test_example_is_valid() -> None:
     path = Path(__file__).parents[1] / 'examples' / 'customers.yaml'
     bundle = parse_bundle(path.read_text())
     assert isinstance(bundle, Bundle)
     assert bundle.customers[0].keys == (digest_of_key(b'mill-key'),)
 
 
-def test_callers_name_neither_a_customer_nor_pass_on_a_key() -> None:
+def test_customer_and_key_headers_of_callers_are_dropped() -> None:
     headers = HTTPHeaders(
         {'Worksrail-Key': 'old', 'worksrail-customer': 'forged', 'A': 'b'}
     )
@@ -230,7 +235,9 @@
     [(False, ''), (True, 'acme')],
     ids=['from a caller', 'from another entry'],
 )
-def test_only_entries_name_a_customer(trusted: bool, customer: str) -> None:
+def test_customer_header_is_trusted_only_from_entries(
+    trusted: bool, customer: str
+) -> None:
     events: list[RequestArrived] = []
     engine: Any = SimpleNamespace(now=lambda: 0.0, dispatch=events.append)
     pool = ConnectionPool(lambda: 0.0)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,4 +1,4 @@
-"""The days of our own can be read and name their kinds of trouble."""
+"""The scenario files in deploy/days parse and name their kinds of faults."""
 
 import tomllib
 from pathlib import Path
@@ -8,12 +8,12 @@
 _DAYS = sorted((Path(__file__).parents[1] / 'deploy' / 'days').glob('*.toml'))
 
 
-def test_there_are_days() -> None:
+def test_scenario_files_exist() -> None:
     assert len(_DAYS) >= 7
 
 
 @pytest.mark.parametrize('path', _DAYS, ids=lambda path: path.stem)
-def test_day_can_be_read(path: Path) -> None:
+def test_scenario_file_is_valid(path: Path) -> None:
     day = tomllib.loads(path.read_text())
     assert day['name'] == path.stem
     troubles = [*day['plan'], *day['faults']]
@@ -23,7 +23,7 @@
         assert 0 <= trouble['at'] <= 30
 
 
-def test_days_have_names_and_seeds_of_their_own() -> None:
+def test_names_and_seeds_are_unique() -> None:
     days = [tomllib.loads(path.read_text()) for path in _DAYS]
     assert len({day['name'] for day in days}) == len(days)
     assert len({day['seed'] for day in days}) == len(days)
--- a/tests/test_lookups.py
+++ b/tests/test_lookups.py
@@ -1,4 +1,4 @@
-"""Who owns the keys of a caller, whichever entry it asks."""
+"""Ownership of a caller's idempotency keys across all entries."""
 
 import pytest
 
@@ -26,11 +26,11 @@
       - {name: orders-1, address: "10.9.1.1:9300", zone: north-a, slots: 4}
       - {name: orders-2, address: "10.9.1.2:9300", zone: north-a, slots: 4}
 """
-_SETTLED = 6.0
+_STEADY_AT = 6.0
 _END = 12.0
 _STEP = 0.05
 
-# Requests a second: some slots are in use, all are, callers are refused.
+# Requests per second: below, at and above the capacity of the slots.
 _RATES = {'calm': 20.0, 'full': 160.0, 'over': 400.0}
 
 
@@ -38,7 +38,7 @@
     bundle = parse_bundle(_BUNDLE)
     plan = WorldPlan(bundle, CoreSettings(), {'orders': 0.05})
     world = World.from_plan(plan)
-    world.run_until(_SETTLED)
+    world.run_until(_STEADY_AT)
     world.load(Traffic('orders', 'north', rate, _END))
     return world
 
@@ -56,11 +56,11 @@
 
 
 @pytest.mark.parametrize('load', _RATES)
-def test_all_entries_name_one_owner(load: str) -> None:
-    # Two look-ups that name two owners let one key run twice, once at each.
+def test_all_entries_return_the_same_owner(load: str) -> None:
+    # If two look-ups name different owners, one key may run once at each.
     world = _world(_RATES[load])
     clients = [f'10.0.0.{number}' for number in range(1, 9)]
-    now = _SETTLED
+    now = _STEADY_AT
     while now < _END:
         now += _STEP
         world.run_until(now)
--- a/tests/test_public.py
+++ b/tests/test_public.py
@@ -1,4 +1,4 @@
-"""The package's public names, and what an entry does not load."""
+"""The package's public names, and modules that an entry must not import."""
 
 import subprocess
 import sys
@@ -7,7 +7,14 @@
 
 import worksrail
 
-_HEAVY = ('yaml', 'pydantic', 'grpclib', 'cryptography', 'fire', 'rich')
+_UNWANTED_MODULES = (
+    'yaml',
+    'pydantic',
+    'grpclib',
+    'cryptography',
+    'fire',
+    'rich',
+)
 
 
 @pytest.mark.parametrize('name', worksrail.__all__)
@@ -20,12 +27,12 @@
         worksrail.nothing  # noqa: B018
 
 
-def test_entry_on_the_platform_loads_little() -> None:
+def test_platform_entry_does_not_import_unwanted_modules() -> None:
     code = (
         'import sys, worksrail.platform._entry;'
-        f'print([name for name in {_HEAVY!r} if name in sys.modules])'
+        f'print([name for name in {_UNWANTED_MODULES!r} if name in sys.modules])'
     )
-    found = subprocess.run(
+    result = subprocess.run(
         [sys.executable, '-c', code], capture_output=True, text=True, check=True
     )
-    assert found.stdout.strip() == '[]'
+    assert result.stdout.strip() == '[]'
--- a/worksrail/core/__init__.py
+++ b/worksrail/core/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions only: no I/O, no clock, no randomness but seeded state."""
+"""Decision logic: no I/O, no clock, and no randomness except seeded state."""
--- a/worksrail/core/_admission.py
+++ b/worksrail/core/_admission.py
@@ -1,4 +1,4 @@
-"""Admission: what is refused at once, and who alone may run a request."""
+"""Admission: requests refused at once, and the owner of a ticket."""
 
 from typing import Final
 
@@ -27,11 +27,11 @@
 }
 
 
-def admitted(
+def admit(
     instance: Instance,
     event: RequestArrived,
 ) -> ActiveRequest | ResultCode:
-    """Admit a request, or say why it is refused."""
+    """Admit a request, or return the result code of its refusal."""
     topology = instance.configuration.topology
     if topology is None:
         return ResultCode.NOT_READY
@@ -47,10 +47,10 @@
     customer = _customer_of(topology, service, head)
     if isinstance(customer, ResultCode):
         return customer
-    allowed = min(service.deadline, instance.settings.longest_run)
+    time_limit = min(service.deadline, instance.settings.longest_run)
     if head.timeout is not None:
-        allowed = min(allowed, head.timeout)
-    if allowed <= 0:
+        time_limit = min(time_limit, head.timeout)
+    if time_limit <= 0:
         return ResultCode.DEADLINE_EXPIRED
     own_region = instance.place.region
     home = head.home or topology.region_of_caller(head.client, own_region)
@@ -59,7 +59,7 @@
         head,
         name,
         home,
-        event.now + allowed,
+        event.now + time_limit,
         is_idempotent(service, head),
         customer,
     )
@@ -72,7 +72,7 @@
 ) -> CustomerName | ResultCode:
     """Name of the caller's customer; empty where callers need no key."""
     if head.passing is not ArrivalPath.DIRECT:
-        # The instance that took it from the caller has seen the key.
+        # The instance that received it from the caller has checked the key.
         return head.customer
     if topology.customers is None:
         return ''
@@ -83,7 +83,7 @@
 
 
 def is_idempotent(service: Service, head: RequestHead) -> bool:
-    """Whether a request may be repeated without harm."""
+    """Whether a request may safely be executed more than once."""
     rule = service.idempotent
     if head.method in rule.methods:
         return True
@@ -95,7 +95,10 @@
     active: ActiveRequest,
     now: float,
 ) -> MemberRecord | ResultCode | None:
-    """Who alone may run the request, if it is another instance."""
+    """Return the owner of the request's ticket if it is another instance.
+
+    If this instance is the owner, the idempotency key is claimed.
+    """
     head = active.head
     if active.idempotent or head.passing is ArrivalPath.SHIFTED:
         return None
@@ -121,8 +124,8 @@
 ) -> ResultCode | None:
     if ticket.service != active.service:
         return ResultCode.INVALID_TICKET
-    longest = instance.wall + instance.settings.ticket_age + _CLOCK_SKEW
-    if not instance.wall < ticket.expires <= longest:
+    latest_expiry = instance.wall + instance.settings.ticket_age + _CLOCK_SKEW
+    if not instance.wall < ticket.expires <= latest_expiry:
         return ResultCode.TICKET_EXPIRED
     return None
 
--- a/worksrail/core/_arriving.py
+++ b/worksrail/core/_arriving.py
@@ -1,9 +1,9 @@
-"""Requests that arrive, and the quotas of the customers they come from."""
+"""Handlers for arriving requests and for the quotas of customers."""
 
 from collections.abc import Iterator
 
-from worksrail.core._admission import admitted
-from worksrail.core._finishing import finish, refusal
+from worksrail.core._admission import admit
+from worksrail.core._finishing import finish, refuse
 from worksrail.core._members import members_by_region
 from worksrail.core._on_requests import begin
 from worksrail.core._quarantining import fingerprint_of
@@ -25,11 +25,11 @@
 
 
 def on_arrival(instance: Instance, event: RequestArrived) -> Iterator[Effect]:
-    """Admit a request and begin with it, or refuse it."""
+    """Admit a request and start it, or refuse it."""
     instance.wall = max(instance.wall, event.wall)
-    active = admitted(instance, event)
+    active = admit(instance, event)
     if isinstance(active, ResultCode):
-        yield from refusal(instance, event.request, '', active, event.now)
+        yield from refuse(instance, event.request, '', active, event.now)
         return
     instance.requests[active.number] = active
     active.fingerprint = fingerprint_of(instance, active, event)
@@ -42,7 +42,7 @@
     if verdict.admission is Admission.WAITING:
         active.state = RequestState.WAITING_FOR_QUOTA
     else:
-        yield from _go_on(instance, active, verdict, event.now)
+        yield from _resume(instance, active, verdict, event.now)
     yield from process_limit_outputs(instance, event.now)
 
 
@@ -51,13 +51,13 @@
     message: LimitMessage,
     now: float,
 ) -> Iterator[Effect]:
-    """Take in what another instance tells of a shared limit."""
+    """Handle a message of another instance about a shared limit."""
     instance.limits.receive(message, now)
     yield from process_limit_outputs(instance, now)
 
 
 def maintain_limits(instance: Instance, now: float) -> Iterator[Effect]:
-    """Report what was admitted, and take in who lives."""
+    """Update the members that share the limits, and report admissions."""
     if not instance.limits.limits:
         return
     if instance.status(now) is not MemberStatus.JOINING:
@@ -68,17 +68,17 @@
 
 
 def process_limit_outputs(instance: Instance, now: float) -> Iterator[Effect]:
-    """Send what the limits have to tell, and go on with what waited."""
+    """Send queued messages of the limits, and resume requests they decided."""
     for output in instance.limits.take_outputs():
         if isinstance(output, Addressed):
             yield SendMessage(output.peer, output.message)
             continue
         active = instance.requests.get(output.ticket)
         if active and active.state is RequestState.WAITING_FOR_QUOTA:
-            yield from _go_on(instance, active, output.verdict, now)
+            yield from _resume(instance, active, output.verdict, now)
 
 
-def _go_on(
+def _resume(
     instance: Instance,
     active: ActiveRequest,
     verdict: Verdict,
--- a/worksrail/core/_borrowing.py
+++ b/worksrail/core/_borrowing.py
@@ -1,4 +1,4 @@
-"""Asks other instances of the region for permits, at once when short."""
+"""Requests for permits from other instances of the region."""
 
 from collections.abc import Iterator
 
@@ -9,11 +9,11 @@
 
 
 def borrow_all(instance: Instance, now: float) -> Iterator[Effect]:
-    """Ask for every group that is short or runs low."""
+    """Request permits for every group that is short or runs low."""
     for group in tuple(instance.ledger.groups):
         yield from borrow(instance, group, now)
         if not group.startswith('slots'):
-            # Shifted requests do not wait: the need ends with the refusal.
+            # Shifted requests are refused, not queued: no shortage remains.
             instance.lending.set_shortage(group, 0)
 
 
@@ -22,8 +22,8 @@
     group: GroupKey,
     now: float,
 ) -> Iterator[Effect]:
-    """Ask for permits of one group, if some are wanted."""
-    if instance.leaving or instance.resting:
+    """Request permits of one group, if some are wanted."""
+    if instance.leaving or instance.isolated:
         return
     if not instance.lending.wanted(group):
         return
@@ -34,11 +34,11 @@
         )
     ]
     for ask in instance.lending.request_loan(group, lenders, now):
-        yield sent(ask)
+        yield send_effect(ask)
 
 
-def sent(addressed: LoanMessage) -> SendMessage:
-    """Effect that sends a message of the lending protocol."""
+def send_effect(addressed: LoanMessage) -> SendMessage:
+    """Return the effect that sends a message of the lending protocol."""
     return SendMessage(addressed.receiver.name, addressed.message)
 
 
--- a/worksrail/core/_dispatching.py
+++ b/worksrail/core/_dispatching.py
@@ -1,4 +1,4 @@
-"""Where a request goes: to an upstream, into a queue, or to another region."""
+"""Dispatching requests: to an upstream, a queue or another region."""
 
 from collections.abc import Iterator
 from math import inf
@@ -8,21 +8,21 @@
 from worksrail.core._finishing import finish
 from worksrail.core._placing import (
     Placement,
-    passing_target,
-    placement_here,
+    acquire_local_permits,
+    choose_remote_instance,
     send,
 )
 from worksrail.core._quarantining import hold_time
 from worksrail.core._retrying import (
     MAYBE_SENT,
+    charge_budget,
     is_earned_within,
-    may_go,
-    pay,
+    may_send,
 )
 from worksrail.core._tokens import (
-    TOKEN_PATIENCE,
+    MAX_TOKEN_WAIT,
+    awaits_token,
     delay_until_token,
-    expects_token,
     send_token_requests,
 )
 from worksrail.core.effects import Effect, Note, NoteKind, PassRequest
@@ -33,9 +33,11 @@
 from worksrail.core.requests.active import ActiveRequest, RequestState
 from worksrail.core.results import ResultCode
 
-_QUICK_SHARE: Final = 0.25
-# The request is held, or the budget allows no retry.
-_NOT_NOW: Final = MAYBE_SENT | {ResultCode.REQUEST_HELD}
+# Queueing here is preferred to another region if the expected wait is at most
+# this share of the longest wait allowed.
+_SHORT_WAIT_SHARE: Final = 0.25
+# The request is quarantined, or the budget allows no retry.
+_BLOCKED_CODES: Final = MAYBE_SENT | {ResultCode.REQUEST_HELD}
 
 
 def place(
@@ -43,27 +45,27 @@
     active: ActiveRequest,
     now: float,
 ) -> Iterator[Effect]:
-    """Send a request, let it wait, pass it on, or refuse it at once."""
-    placement = _placement_or_hold(instance, active, now)
+    """Send a request, queue it, pass it on, or refuse it at once."""
+    placement = _acquire_unless_blocked(instance, active, now)
     if isinstance(placement, Placement):
         yield from _send(instance, active, placement, now)
         return
-    if placement in _NOT_NOW:
+    if placement in _BLOCKED_CODES:
         yield from _wait_for_retry(instance, active, placement, now)
         return
     if placement is ResultCode.UPSTREAMS_LIMITED:
         yield from _wait_for_token(instance, active, now)
         return
-    if _may_wait(instance, active, now, _QUICK_SHARE):
-        yield from _wait(instance, active, now)
+    if _may_queue(instance, active, now, _SHORT_WAIT_SHARE):
+        yield from _enqueue(instance, active, now)
         return
-    target = _other_region(instance, active, now)
+    target = _remote_target(instance, active, now)
     if target:
         active.tried_regions.add(target.place.region)
         yield from pass_on(instance, active, target)
         return
-    if _may_wait(instance, active, now, 1):
-        yield from _wait(instance, active, now)
+    if _may_queue(instance, active, now, 1):
+        yield from _enqueue(instance, active, now)
         return
     yield from finish(instance, active, placement, now)
 
@@ -71,8 +73,8 @@
 def dispatch_waiting(
     instance: Instance, service: str, now: float
 ) -> Iterator[Effect]:
-    """Send waiting requests as far as there are retries and permits."""
-    yield from _pump_retries(instance, service, now)
+    """Dispatch queued requests while the budget and the permits allow it."""
+    yield from _dispatch_retry(instance, service, now)
     queue = instance.service_state(service).queue
     group = instance.ledger.groups.get(slot_group(service))
     while group and group.available.keys:
@@ -80,10 +82,10 @@
         if waiting is None:
             break
         active = instance.requests[waiting.request]
-        placement = _placement_or_hold(instance, active, now)
+        placement = _acquire_unless_blocked(instance, active, now)
         if isinstance(placement, Placement):
             yield from _send(instance, active, placement, now)
-        elif placement in _NOT_NOW:
+        elif placement in _BLOCKED_CODES:
             yield from _refuse(instance, active, placement, now)
         else:
             queue.put_first(waiting)
@@ -91,29 +93,29 @@
     instance.lending.set_shortage(slot_group(service), len(queue))
 
 
-def give_up_retries(
+def expire_retries(
     instance: Instance,
     service: str,
     now: float,
 ) -> Iterator[Effect]:
-    """Refuse the requests that waited too long for a retry."""
+    """Refuse requests whose wait for the retry budget has timed out."""
     for number in instance.service_state(service).retries.expired(now):
         active = instance.requests[number]
         code = active.failed_with or ResultCode.NO_SLOT
         yield from _refuse(instance, active, code, now)
 
 
-def give_up_waiting(
+def expire_queued(
     instance: Instance,
     service: str,
     now: float,
 ) -> Iterator[Effect]:
-    """Refuse the requests that waited too long, or pass them on."""
+    """Pass on or refuse requests whose queueing time has run out."""
     queue = instance.service_state(service).queue
     for number in queue.expired(now):
         active = instance.requests[number]
         active.state = RequestState.NEW
-        target = _other_region(instance, active, now)
+        target = _remote_target(instance, active, now)
         if target:
             active.tried_regions.add(target.place.region)
             yield from pass_on(instance, active, target)
@@ -126,8 +128,8 @@
     active: ActiveRequest,
     target: MemberRecord,
 ) -> Iterator[Effect]:
-    """Hand a request on to another instance."""
-    pay(instance, active)
+    """Pass a request to another instance."""
+    charge_budget(instance, active)
     active.state = RequestState.PASSED
     active.passed_to = target.who.name
     active.attempts += 1
@@ -147,12 +149,12 @@
     active: ActiveRequest,
     now: float,
 ) -> Iterator[Effect]:
-    """Let a request wait if a token was asked for; else it goes elsewhere."""
+    """Queue a request if a token was requested; else pass it on or refuse."""
     yield from send_token_requests(instance, now)
-    if expects_token(instance) and _may_wait(instance, active, now, 1):
-        yield from _wait(instance, active, now, TOKEN_PATIENCE)
+    if awaits_token(instance) and _may_queue(instance, active, now, 1):
+        yield from _enqueue(instance, active, now, MAX_TOKEN_WAIT)
         return
-    target = _other_region(instance, active, now)
+    target = _remote_target(instance, active, now)
     if target:
         active.tried_regions.add(target.place.region)
         yield from pass_on(instance, active, target)
@@ -161,7 +163,7 @@
     yield from finish(instance, active, ResultCode.UPSTREAMS_LIMITED, now, wait)
 
 
-def _pump_retries(
+def _dispatch_retry(
     instance: Instance,
     service: str,
     now: float,
@@ -178,17 +180,17 @@
         yield from place(instance, active, now)
 
 
-def _placement_or_hold(
+def _acquire_unless_blocked(
     instance: Instance,
     active: ActiveRequest,
     now: float,
 ) -> Placement | ResultCode:
-    """Permits for an upstream here, unless it may not be sent now."""
+    """Take permits for a local upstream, unless the request is blocked now."""
     if hold_time(instance, active, now):
         return ResultCode.REQUEST_HELD
-    if active.failed_with and not may_go(instance, active):
+    if active.failed_with and not may_send(instance, active):
         return active.failed_with
-    return placement_here(instance, active, now)
+    return acquire_local_permits(instance, active, now)
 
 
 def _send(
@@ -197,7 +199,7 @@
     placement: Placement,
     now: float,
 ) -> Iterator[Effect]:
-    pay(instance, active)
+    charge_budget(instance, active)
     yield from send(instance, active, placement, now)
 
 
@@ -211,7 +213,7 @@
     yield from finish(instance, active, code, now, wait)
 
 
-def _may_wait(
+def _may_queue(
     instance: Instance,
     active: ActiveRequest,
     now: float,
@@ -225,11 +227,11 @@
     if group is None or len(state.queue) >= instance.settings.queue_limit:
         return False
     wait = state.queue.expected_wait(state.typical_latency, group.usable)
-    patience = _patience(instance, active, now)
-    return wait <= patience * share
+    max_wait = _max_wait(instance, active, now)
+    return wait <= max_wait * share
 
 
-def _patience(instance: Instance, active: ActiveRequest, now: float) -> float:
+def _max_wait(instance: Instance, active: ActiveRequest, now: float) -> float:
     topology = instance.configuration.topology
     if topology is None:
         return 0
@@ -240,15 +242,15 @@
     )
 
 
-def _wait(
+def _enqueue(
     instance: Instance,
     active: ActiveRequest,
     now: float,
-    longest: float = inf,
+    upper_bound: float = inf,
 ) -> Iterator[Effect]:
     state = instance.service_state(active.service)
     active.state = RequestState.WAITING
-    give_up_at = now + min(longest, _patience(instance, active, now))
+    give_up_at = now + min(upper_bound, _max_wait(instance, active, now))
     state.queue.put(QueuedRequest(active.number, give_up_at))
     group = slot_group(active.service)
     instance.lending.set_shortage(group, len(state.queue))
@@ -261,18 +263,18 @@
     code: ResultCode,
     now: float,
 ) -> Iterator[Effect]:
-    """Let a request wait if a retry is earned in time; else refuse it."""
-    patience = _patience(instance, active, now)
+    """Queue a request if a retry is expected in time; else refuse it."""
+    max_wait = _max_wait(instance, active, now)
     held = code is ResultCode.REQUEST_HELD
-    if held or not is_earned_within(instance, active, patience, now):
+    if held or not is_earned_within(instance, active, max_wait, now):
         yield from _refuse(instance, active, code, now)
         return
     active.state = RequestState.WAITING_FOR_BUDGET
-    waiting = QueuedRequest(active.number, now + patience)
+    waiting = QueuedRequest(active.number, now + max_wait)
     instance.service_state(active.service).retries.put(waiting)
 
 
-def _other_region(
+def _remote_target(
     instance: Instance,
     active: ActiveRequest,
     now: float,
@@ -281,6 +283,6 @@
         return None
     if active.attempts >= instance.settings.attempt_limit:
         return None
-    if not may_go(instance, active):
+    if not may_send(instance, active):
         return None
-    return passing_target(instance, active, now)
+    return choose_remote_instance(instance, active, now)
--- a/worksrail/core/_finishing.py
+++ b/worksrail/core/_finishing.py
@@ -1,4 +1,4 @@
-"""The end of a request: its answer, or why it is refused."""
+"""Ending a request: its answer or refusal."""
 
 from collections.abc import Iterator
 from typing import Final
@@ -21,9 +21,9 @@
     now: float,
     wait: float = 0,
 ) -> Iterator[Effect]:
-    """Answer a request with a result code: its final answer, at once.
+    """End a request and answer it with a result code.
 
-    *Not run* is only said if it is true of every attempt that was made.
+    *Not run* is reported only if it holds for every attempt that was made.
     """
     code = reported_code(active, code)
     if active.maybe_executed and code.certainty is Certainty.NOT_RUN:
@@ -32,10 +32,10 @@
     if active.admitted and not executed:
         instance.limits.give_back(quota_name(active.customer))
     close(instance, active, executed=executed)
-    yield from refusal(instance, active.number, active.service, code, now, wait)
+    yield from refuse(instance, active.number, active.service, code, now, wait)
 
 
-def refusal(
+def refuse(
     instance: Instance,
     number: int,
     service: str,
@@ -43,7 +43,7 @@
     now: float,
     wait: float = 0,
 ) -> Iterator[Effect]:
-    """Tell a caller why its request is refused, and when to come back."""
+    """Answer a request with a refusal and a retry delay."""
     delay = wait
     entry = ''
     if code.http_status == _UNAVAILABLE and not wait:
@@ -60,7 +60,7 @@
     *,
     executed: bool,
 ) -> None:
-    """Forget a request; its key, if it claimed one, is settled."""
+    """Remove a request, and settle its idempotency key if it claimed one."""
     instance.requests.pop(active.number, None)
     if active.claimed_key:
         instance.memory.finish(active.claimed_key, executed=executed)
--- a/worksrail/core/_members.py
+++ b/worksrail/core/_members.py
@@ -1,4 +1,4 @@
-"""The instances among which duties for limits are drawn."""
+"""The instances among which the issuers and owners of limits are chosen."""
 
 from typing import Final
 
@@ -15,21 +15,21 @@
     instance: Instance,
     now: float,
 ) -> dict[RegionName, Members]:
-    """Instances that are ready, in each region and in all, by their names.
+    """Ready instances by name, for each region and for all regions.
 
-    Instances are addressed by name.
+    Names also stand in for addresses: effects address instances by name.
     """
     live = instance.membership.live(now, instance.settings)
     ready = [one for one in live if one.status is MemberStatus.READY]
-    staying = [
+    present = [
         member.record
         for member in instance.membership.members.values()
         if member.record.status not in _GONE
     ]
     regions = {ALL_REGIONS, instance.place.region}
-    regions.update(record.place.region for record in staying)
+    regions.update(record.place.region for record in present)
     return {
-        region: _members(instance, region, ready, staying, now)
+        region: _members(instance, region, ready, present, now)
         for region in sorted(regions)
     }
 
@@ -38,7 +38,7 @@
     instance: Instance,
     region: RegionName,
     ready: list[MemberRecord],
-    staying: list[MemberRecord],
+    present: list[MemberRecord],
     now: float,
 ) -> Members:
     peers = {
@@ -47,7 +47,7 @@
         if region in {ALL_REGIONS, record.place.region}
     }
     known = sum(
-        region in {ALL_REGIONS, record.place.region} for record in staying
+        region in {ALL_REGIONS, record.place.region} for record in present
     )
     if region in {ALL_REGIONS, instance.place.region}:
         known += 1
--- a/worksrail/core/_meters.py
+++ b/worksrail/core/_meters.py
@@ -1,31 +1,31 @@
-"""Moving averages of how often something happens."""
+"""Moving averages of event rates."""
 
 from dataclasses import dataclass
 from math import exp
 from typing import Final
 
-# Seconds over which a rate is averaged unless its user says otherwise.
-_RATE_TIME: Final = 2.0
+# Default time constant of the average, in seconds.
+_DEFAULT_TIME_CONSTANT: Final = 2.0
 
 
 @dataclass(slots=True)
 class RateMeter:
-    """A moving average of how many things happen in a second."""
+    """An exponential moving average of events per second."""
 
     smoothed: float = 0
-    """Things a second, as of ``noted_at``."""
+    """Events per second, as of ``noted_at``."""
 
     noted_at: float = 0
-    """When the last thing happened."""
+    """When the last event was counted."""
 
-    seconds: float = _RATE_TIME
-    """Time over which it is averaged."""
+    seconds: float = _DEFAULT_TIME_CONSTANT
+    """Time constant of the average, in seconds."""
 
     def note(self, now: float) -> None:
-        """One more thing happens."""
+        """Count one event."""
         self.smoothed = self.rate(now) + 1 / self.seconds
         self.noted_at = now
 
     def rate(self, now: float) -> float:
-        """Things a second."""
+        """Events per second."""
         return self.smoothed * exp((self.noted_at - now) / self.seconds)
--- a/worksrail/core/_on_configuration.py
+++ b/worksrail/core/_on_configuration.py
@@ -1,4 +1,4 @@
-"""News of configuration heads, drain lists and fetched bundles."""
+"""Handlers for configuration heads, drain lists and fetched bundles."""
 
 from collections.abc import Iterator
 
@@ -24,25 +24,25 @@
 
 
 def on_head_seen(instance: Instance, event: HeadSeen) -> Iterator[Effect]:
-    """Take in a head read from the store."""
+    """Handle a head read from the store."""
     instance.store_contact_at = event.now
-    yield from judge_head(instance, event.generation, event.digest, event.now)
+    yield from handle_head(instance, event.generation, event.digest, event.now)
 
 
-def judge_head(
+def handle_head(
     instance: Instance,
     generation: int,
     digest: str,
     now: float,
 ) -> Iterator[Effect]:
-    """Fetch a newer bundle and tell others; ignore an older head loudly."""
+    """Fetch a newer bundle and advertise its head; log an older head."""
     configuration = instance.configuration
     known = configuration.wanted
     verdict = configuration.evaluate_head(generation, digest, now)
     if verdict is HeadVerdict.FETCH:
         yield _fetch(instance, now)
         if generation > known:
-            yield from _spread(instance, HeadNews(generation, digest), now)
+            yield from _gossip(instance, HeadNews(generation, digest), now)
     elif verdict is not HeadVerdict.KNOWN:
         yield Note(
             NoteKind.OLDER_HEAD_IGNORED, verdict.name, generation=generation
@@ -53,7 +53,7 @@
     instance: Instance,
     event: BundleFetched,
 ) -> Iterator[Effect]:
-    """Bring a bundle into force if its generation is higher."""
+    """Apply a bundle if its generation is higher than the one in force."""
     before = instance.configuration.topology
     applied = instance.configuration.apply(
         event.generation, event.digest, event.bundle, event.now
@@ -72,8 +72,8 @@
     region = topology.regions.get(instance.place.region)
     instance.seats.wanted_seats = region.seats if region else 0
     old = set(before.upstreams) if before else set(topology.upstreams)
-    _mind(instance, set(topology.upstreams), set(topology.upstreams) - old)
-    follow_drains(instance, event.now)
+    _monitor(instance, set(topology.upstreams), set(topology.upstreams) - old)
+    enforce_drains(instance, event.now)
     yield Note(
         NoteKind.GENERATION_APPLIED,
         event.digest,
@@ -85,86 +85,90 @@
     instance: Instance,
     event: BundleFetchFailed,
 ) -> Iterator[Effect]:
-    """Leave the fetch to be tried again; what is in force stays."""
+    """Keep the configuration in force; the fetch is retried on a tick."""
     yield from ()
 
 
 def retry_fetch(instance: Instance, now: float) -> Iterator[Effect]:
-    """Try a fetch again that has not succeeded."""
+    """Retry a fetch that has not succeeded yet."""
     configuration = instance.configuration
     if configuration.needs_fetch(now):
-        yield from judge_head(
+        yield from handle_head(
             instance, configuration.wanted, configuration.wanted_digest, now
         )
 
 
 def on_drains_seen(instance: Instance, event: DrainsSeen) -> Iterator[Effect]:
-    """Take in a drain list read from the store."""
+    """Handle a drain list read from the store."""
     instance.store_contact_at = event.now
-    yield from take_drains(instance, event.revision, event.targets, event.now)
+    yield from apply_drain_list(
+        instance, event.revision, event.targets, event.now
+    )
 
 
-def take_drains(
+def apply_drain_list(
     instance: Instance,
     revision: int,
     targets: tuple[str, ...],
     now: float,
 ) -> Iterator[Effect]:
-    """Bring a newer drain list into force and tell others."""
+    """Apply a newer drain list and advertise it."""
     configuration = instance.configuration
     if not configuration.apply_drains(revision, targets):
         return
     if configuration.topology:
-        _mind(instance, set(configuration.topology.upstreams), set())
-    follow_drains(instance, now)
+        _monitor(instance, set(configuration.topology.upstreams), set())
+    enforce_drains(instance, now)
     yield Note(NoteKind.DRAINS_APPLIED, ','.join(targets))
-    yield from _spread(instance, DrainNews(revision, targets), now)
+    yield from _gossip(instance, DrainNews(revision, targets), now)
 
 
-def follow_drains(instance: Instance, now: float) -> None:
-    """Leave or come back as an entry, and set all ceilings."""
+def enforce_drains(instance: Instance, now: float) -> None:
+    """Start or end leaving if this entry's drain changed; update upstreams."""
     drained = instance.is_drained_entry()
     if drained and instance.leaving is None:
         instance.leaving = LeaveState(
-            now, exits=False, accepts_until=now + cached_answers_end(instance)
+            now,
+            exits=False,
+            accepts_until=now + cached_answer_lifetime(instance),
         )
     elif not drained and instance.leaving and not instance.leaving.exits:
         instance.leaving = None
     refresh_ceilings(instance, now)
 
 
-def cached_answers_end(instance: Instance) -> float:
-    """Seconds until no caller's cached answer names this instance."""
+def cached_answer_lifetime(instance: Instance) -> float:
+    """Seconds until every cached look-up answer with this instance expires."""
     topology = instance.configuration.topology
     age = topology.bundle.answer_age if topology else 0
-    # An answer may still be given while this instance counts as live.
+    # Peers may still return this instance while they consider it live.
     return age + instance.settings.suspect_after
 
 
 def refresh_ceilings(instance: Instance, now: float) -> None:
-    """Set the ceilings of upstreams that are drained, ejected or cold."""
+    """Update how many permits drained, ejected and cold upstreams may use."""
     topology = instance.configuration.topology
     region = topology and topology.regions.get(instance.place.region)
     if topology is None or not region:
         return
     drains = instance.configuration.drains
-    for key in tuple(instance.attention):
+    for key in tuple(instance.monitored):
         if key not in instance.ledger.pools or key not in topology.upstreams:
-            instance.attention.discard(key)
+            instance.monitored.discard(key)
             continue
-        max_in_use = _ceiling(instance, key, now)
+        max_in_use = _max_in_use(instance, key, now)
         _, upstream = topology.upstreams[key]
         if topology.is_drained(upstream, drains):
-            # It comes back cold.
+            # After the drain the upstream starts cold.
             instance.upstream_health(key).cold_since = now
             max_in_use = 0
         elif max_in_use is None:
-            instance.attention.discard(key)
+            instance.monitored.discard(key)
         instance.ledger.set_max_in_use(key, max_in_use)
         instance.ledger.refresh_pool(key, now)
 
 
-def _ceiling(instance: Instance, key: PoolKey, now: float) -> int | None:
+def _max_in_use(instance: Instance, key: PoolKey, now: float) -> int | None:
     topology = instance.configuration.topology
     if topology is None:
         return None
@@ -194,13 +198,13 @@
     return ejected + 1 <= count * settings.ejection_share
 
 
-def _mind(
+def _monitor(
     instance: Instance,
     keys: set[PoolKey],
     cold: set[PoolKey],
 ) -> None:
-    instance.attention |= keys & set(instance.ledger.pools)
-    for key in cold & instance.attention:
+    instance.monitored |= keys & set(instance.ledger.pools)
+    for key in cold & instance.monitored:
         instance.upstream_health(key).cold_since = instance.last_event_at
 
 
@@ -221,7 +225,7 @@
     )
 
 
-def _spread(
+def _gossip(
     instance: Instance,
     message: AnyMessage,
     now: float,
--- a/worksrail/core/_on_messages.py
+++ b/worksrail/core/_on_messages.py
@@ -1,12 +1,12 @@
-"""Messages of other instances."""
+"""Handlers for messages from other instances."""
 
 from collections.abc import Iterator
 
 from worksrail.core._arriving import on_limit_message
 from worksrail.core._dispatching import dispatch_waiting
-from worksrail.core._on_configuration import judge_head, take_drains
-from worksrail.core._on_time import follow_seats
-from worksrail.core._pacing import receive_named_limits, take_pacing_message
+from worksrail.core._on_configuration import apply_drain_list, handle_head
+from worksrail.core._on_time import sync_ledger
+from worksrail.core._pacing import handle_pacing_message, receive_named_limits
 from worksrail.core._quarantining import receive_crashes
 from worksrail.core.effects import Effect, Note, NoteKind, SendMessage
 from worksrail.core.events import MessageReceived
@@ -30,18 +30,18 @@
 
 
 def on_message(instance: Instance, event: MessageReceived) -> Iterator[Effect]:
-    """Hand a message to the part that it belongs to."""
+    """Dispatch a message to its handler."""
     message = event.message
     now = event.now
     match message:
         case Heartbeat():
             yield from _on_heartbeat(instance, message, now)
         case HeadNews():
-            yield from judge_head(
+            yield from handle_head(
                 instance, message.generation, message.digest, now
             )
         case DrainNews():
-            yield from take_drains(
+            yield from apply_drain_list(
                 instance, message.revision, message.targets, now
             )
         case SeatOffer():
@@ -51,7 +51,7 @@
         case LimitReport() | LimitReply() | LimitHandover():
             yield from on_limit_message(instance, message, now)
         case _:
-            yield from _on_permission(instance, event)
+            yield from _on_token_or_loan(instance, event)
 
 
 def _on_heartbeat(
@@ -66,19 +66,19 @@
         if record.status is MemberStatus.LEFT:
             yield Note(NoteKind.MEMBER_LEFT, record.who.label)
         if record.generation > instance.configuration.generation:
-            yield from judge_head(
+            yield from handle_head(
                 instance, record.generation, record.digest, now
             )
-        yield from _catch_up_drains(instance, record)
+        yield from _send_newer_drains(instance, record)
     yield from receive_crashes(instance, message.crashes, now)
     yield from receive_named_limits(instance, message.limits, now)
 
 
-def _on_permission(
+def _on_token_or_loan(
     instance: Instance,
     event: MessageReceived,
 ) -> Iterator[Effect]:
-    """Take in a message of tokens or of loans."""
+    """Handle a message about tokens or loans."""
     if isinstance(event.message, TokenRequest | TokenGrant):
         yield from _on_pacing_message(instance, event.message, event.now)
     else:
@@ -90,16 +90,16 @@
     message: PacingMessage,
     now: float,
 ) -> Iterator[Effect]:
-    yield from take_pacing_message(instance, message, now)
+    yield from handle_pacing_message(instance, message, now)
     for service in tuple(instance.services):
         yield from dispatch_waiting(instance, service, now)
 
 
-def _catch_up_drains(
+def _send_newer_drains(
     instance: Instance,
     record: MemberRecord,
 ) -> Iterator[Effect]:
-    # The other one has an older list: it gets the newer one.
+    # The sender has an older drain list: reply with the newer one.
     configuration = instance.configuration
     if 0 < record.drains < configuration.drain_revision or (
         record.drains == 0 and configuration.drain_revision
@@ -125,7 +125,7 @@
         return
     yield SendMessage(event.sender.name, answer)
     if before != set(instance.seats.held):
-        yield from follow_seats(instance)
+        yield from sync_ledger(instance)
         yield Note(NoteKind.SEAT_HELD, str(offer.seat))
 
 
@@ -146,7 +146,7 @@
         case LoanGrant():
             for answer in lending.on_grant(message, sender, now):
                 yield SendMessage(answer.receiver.name, answer.message)
-            yield from _pump_group(instance, message.group, now)
+            yield from _dispatch_group(instance, message.group, now)
         case LoanRecall():
             for answer in lending.on_recall(message, sender, now):
                 yield SendMessage(answer.receiver.name, answer.message)
@@ -155,10 +155,10 @@
             lent = instance.ledger.lent.get(loan)
             instance.ledger.apply_return(loan, message.kept_parts, now)
             if lent:
-                yield from _pump_group(instance, lent.group, now)
+                yield from _dispatch_group(instance, lent.group, now)
 
 
-def _pump_group(
+def _dispatch_group(
     instance: Instance,
     group: GroupKey | str,
     now: float,
--- a/worksrail/core/_on_requests.py
+++ b/worksrail/core/_on_requests.py
@@ -1,4 +1,4 @@
-"""The life of a request: from its admission to the end of its last attempt."""
+"""Handlers for requests, from admission to the end of the last attempt."""
 
 from collections.abc import Iterator
 from typing import Final
@@ -23,8 +23,9 @@
 
 _DISTRUST_TIME: Final = 1.0
 
-# The upstream may still be working on a request that was cut off.
-_CUT_OFF: Final = frozenset(
+# The upstream may still be running the request, so its slot is kept in use
+# for a while.
+_POSSIBLY_RUNNING: Final = frozenset(
     (
         AttemptOutcome.BROKE_BEFORE_ANSWER,
         AttemptOutcome.BROKE_IN_ANSWER,
@@ -49,7 +50,7 @@
     active: ActiveRequest,
     now: float,
 ) -> Iterator[Effect]:
-    """Place a request that was admitted, or pass it to who may run it."""
+    """Dispatch an admitted request, or pass it to the owner of its ticket."""
     active.state = RequestState.NEW
     owner = ticket_owner(instance, active, now)
     if isinstance(owner, ResultCode):
@@ -62,7 +63,7 @@
 
 
 def on_caller_gone(instance: Instance, event: CallerGone) -> Iterator[Effect]:
-    """Drop what has not been sent; cut off what may be cut off."""
+    """Drop a queued request; cancel a sent one if it is idempotent."""
     active = instance.requests.get(event.request)
     if active is None:
         return
@@ -84,12 +85,12 @@
     instance: Instance,
     event: AttemptEnded,
 ) -> Iterator[Effect]:
-    """Release permits, learn about the upstream, retry or finish."""
+    """Release permits, update the upstream's health, then retry or finish."""
     active = instance.requests.get(event.request)
     if active is None or active.state is not RequestState.SENT:
         return
-    _release_after(instance, active, event)
-    _learn(instance, active, event)
+    _release_permits(instance, active, event)
+    _update_health(instance, active, event)
     yield from learn_crash(instance, active, event)
     yield from learn_limit(instance, active, event)
     if event.outcome in _FINAL_CODES:
@@ -101,7 +102,7 @@
 
 
 def on_pass_ended(instance: Instance, event: PassEnded) -> Iterator[Effect]:
-    """Take the other instance's word, or look for another place."""
+    """Finish with the result of the other instance, or dispatch again."""
     active = instance.requests.get(event.request)
     if active is None or active.state is not RequestState.PASSED:
         return
@@ -120,30 +121,30 @@
             instance, active, event.code, event.now, event.retry_after
         )
         return
-    harmless = event.code.certainty is Certainty.NOT_RUN or active.idempotent
-    again = (
-        harmless
+    repeatable = event.code.certainty is Certainty.NOT_RUN or active.idempotent
+    may_retry = (
+        repeatable
         and not active.to_owner
-        and _has_room_for_more(instance, active, event)
+        and _may_attempt_again(instance, active, event)
     )
     active.peer_retry_after = event.retry_after
     if event.code in MAYBE_SENT:
         active.failed_with = event.code
     if event.code.certainty is not Certainty.NOT_RUN:
         active.maybe_executed = True
-    if again:
+    if may_retry:
         active.state = RequestState.NEW
         yield from place(instance, active, event.now)
     else:
         yield from finish(instance, active, event.code, event.now)
 
 
-def _release_after(
+def _release_permits(
     instance: Instance,
     active: ActiveRequest,
     event: AttemptEnded,
 ) -> None:
-    if event.outcome in _CUT_OFF:
+    if event.outcome in _POSSIBLY_RUNNING:
         free_at = event.now + instance.settings.cancel_grace
         for hold in active.holds:
             hold_until(instance, TimedRelease(free_at, hold))
@@ -152,7 +153,7 @@
     active.holds = ()
 
 
-def _learn(
+def _update_health(
     instance: Instance,
     active: ActiveRequest,
     event: AttemptEnded,
@@ -169,16 +170,16 @@
     if event.outcome is AttemptOutcome.ANSWERED:
         instance.retry_budget(active.service).record_success(event.now)
     if event.outcome is AttemptOutcome.ANSWERED and not event.failed:
-        taken = event.now - active.sent_at
-        health.latency.add(taken)
-        state.latency.add(taken)
+        duration = event.now - active.sent_at
+        health.latency.add(duration)
+        state.latency.add(duration)
         health.failures = 0
         health.last_success_at = event.now
         health.trial = False
     else:
         health.failures += 1
     if health.trial or health.is_outlier(state.typical_latency):
-        instance.attention.add(active.upstream)
+        instance.monitored.add(active.upstream)
 
 
 def _retry_or_finish(
@@ -194,7 +195,7 @@
     code = _FINAL_CODES[event.outcome]
     if code in MAYBE_SENT:
         active.failed_with = code
-    if may_repeat and _has_room_for_more(instance, active, event):
+    if may_repeat and _may_attempt_again(instance, active, event):
         if active.upstream is not None:
             active.tried.add(active.upstream)
         active.state = RequestState.NEW
@@ -203,12 +204,12 @@
         yield from finish(instance, active, code, event.now)
 
 
-def _has_room_for_more(
+def _may_attempt_again(
     instance: Instance,
     active: ActiveRequest,
     event: AttemptEnded | PassEnded,
 ) -> bool:
     if active.caller_gone or not event.replayable:
         return False
-    fewer = active.attempts < instance.settings.attempt_limit
-    return fewer and event.now < active.deadline
+    attempts_left = active.attempts < instance.settings.attempt_limit
+    return attempts_left and event.now < active.deadline
--- a/worksrail/core/_on_time.py
+++ b/worksrail/core/_on_time.py
@@ -1,23 +1,23 @@
-"""What happens as time passes: heartbeats, loans, seats, waiting, leaving."""
+"""Periodic work: heartbeats, loans, seats, queued requests and leaving."""
 
 import heapq
 from collections.abc import Iterable, Iterator
 from typing import Final
 
 from worksrail.core._arriving import maintain_limits
-from worksrail.core._borrowing import borrow_all, sent
+from worksrail.core._borrowing import borrow_all, send_effect
 from worksrail.core._dispatching import (
     dispatch_waiting,
-    give_up_retries,
-    give_up_waiting,
+    expire_queued,
+    expire_retries,
 )
 from worksrail.core._on_configuration import (
-    cached_answers_end,
+    cached_answer_lifetime,
     refresh_ceilings,
     retry_fetch,
 )
-from worksrail.core._pacing import limits_to_tell, maintain_pacing
-from worksrail.core._quarantining import crashes_to_tell
+from worksrail.core._pacing import maintain_pacing, named_limits_to_advertise
+from worksrail.core._quarantining import crashes_to_advertise
 from worksrail.core.effects import (
     BecomeIncarnation,
     Effect,
@@ -47,38 +47,38 @@
 
 
 def on_tick(instance: Instance, event: Ticked) -> Iterator[Effect]:
-    """Do all that is due."""
+    """Run all periodic work that is due."""
     now = event.now
     instance.wall = max(instance.wall, event.wall)
     yield from _release_due(instance, now)
     yield from _follow_isolation(instance, now)
     for answer in instance.lending.tick(now):
-        yield sent(answer)
-    yield from _serve_waiting(instance, now)
+        yield send_effect(answer)
+    yield from _process_queues(instance, now)
     yield from borrow_all(instance, now)
     refresh_ceilings(instance, now)
-    yield from _tend_rates(instance, now)
-    yield from _slow_duties(instance, now)
+    yield from _maintain_rates(instance, now)
+    yield from _periodic_tasks(instance, now)
 
 
-def _tend_rates(instance: Instance, now: float) -> Iterator[Effect]:
+def _maintain_rates(instance: Instance, now: float) -> Iterator[Effect]:
     yield from maintain_limits(instance, now)
     yield from maintain_pacing(instance, now)
 
 
-def _slow_duties(instance: Instance, now: float) -> Iterator[Effect]:
+def _periodic_tasks(instance: Instance, now: float) -> Iterator[Effect]:
     yield from retry_fetch(instance, now)
     yield from _leave(instance, now)
     if now >= instance.next_heartbeat_at:
         instance.next_heartbeat_at = now + instance.settings.heartbeat_interval
-        yield from _slow_round(instance, now)
+        yield from _heartbeat_round(instance, now)
 
 
 def rejoin_after_pause(instance: Instance, now: float) -> Iterator[Effect]:
-    """Rejoin as a new incarnation that holds nothing.
+    """Rejoin as a new incarnation that holds no seats or permits.
 
-    Whatever was held may have been claimed by others meanwhile, so nothing
-    is done as its holder any more.
+    Other instances may have claimed the seats and permits during the pause, so
+    this instance must not act as their holder any more.
     """
     who = Incarnation(instance.who.name, instance.who.number + 1)
     yield Note(NoteKind.PAUSED, instance.who.label)
@@ -90,16 +90,16 @@
     instance.seats.drop_all_seats()
     instance.seats.unheld_since.clear()
     instance.started_at = now
-    instance.resting = False
-    _forget_shares(instance, now)
+    instance.isolated = False
+    _reset_rate_shares(instance, now)
     for answer in instance.lending.return_all_loans(now):
-        yield sent(answer)
-    yield from follow_seats(instance)
+        yield send_effect(answer)
+    yield from sync_ledger(instance)
     yield BecomeIncarnation(who)
     yield Note(NoteKind.REJOINED, who.label)
 
 
-def _forget_shares(instance: Instance, now: float) -> None:
+def _reset_rate_shares(instance: Instance, now: float) -> None:
     instance.limits.handle_pause(now)
     instance.pacer.handle_pause()
 
@@ -108,7 +108,7 @@
     instance: Instance,
     event: InstanceListRead,
 ) -> Iterator[Effect]:
-    """Take in the platform's lagging list."""
+    """Store the platform's list of instances, which may be outdated."""
     instance.store_contact_at = event.now
     instance.membership.listed = {
         listed.name: listed for listed in event.instances
@@ -117,46 +117,50 @@
 
 
 def on_seat_table(instance: Instance, event: SeatTableRead) -> Iterator[Effect]:
-    """Take in the seat table and whatever it decides."""
+    """Apply a seat table read from the store."""
     instance.store_contact_at = event.now
-    yield from _take_table(instance, event.table, event.version, event.now)
+    yield from _apply_seat_table(
+        instance, event.table, event.version, event.now
+    )
 
 
 def on_seats_written(
     instance: Instance,
     event: SeatTableWritten,
 ) -> Iterator[Effect]:
-    """Take in the outcome of an own update of the seat table."""
+    """Handle the outcome of this instance's update of the seat table."""
     instance.seats.writing = False
     if event.outcome is WriteOutcome.DONE:
         instance.store_contact_at = event.now
-        yield from _take_table(instance, event.table, event.version, event.now)
+        yield from _apply_seat_table(
+            instance, event.table, event.version, event.now
+        )
     else:
-        # The table is read again before the next try.
+        # Force a new read of the table before the next attempt.
         instance.seats.read_at = None
 
 
 def on_stop(instance: Instance, event: StopRequested) -> Iterator[Effect]:
-    """Begin a graceful stop."""
+    """Start a graceful stop."""
     if instance.leaving and instance.leaving.exits:
         return
     instance.leaving = LeaveState(
         event.now,
         exits=True,
-        accepts_until=event.now + cached_answers_end(instance),
+        accepts_until=event.now + cached_answer_lifetime(instance),
     )
     yield Note(NoteKind.LEAVING, instance.who.label)
-    yield from _tell_everybody(instance, event.now)
+    yield from _broadcast_record(instance, event.now)
 
 
-def follow_seats(instance: Instance) -> Iterator[Effect]:
-    """Bring the ledger in line with the seats that are held."""
-    seats = () if instance.resting else instance.seats.held
+def sync_ledger(instance: Instance) -> Iterator[Effect]:
+    """Update the ledger to the seats held; while isolated, to none."""
+    seats = () if instance.isolated else instance.seats.held
     instance.ledger.hold_seats(seats)
     yield from ()
 
 
-# -- due releases and waiting requests
+# -- due releases and queued requests
 
 
 def _release_due(instance: Instance, now: float) -> Iterator[Effect]:
@@ -165,42 +169,42 @@
         instance.ledger.release(release.hold, now)
         if release.hold.loan:
             for answer in instance.lending.on_release(release.hold.loan, now):
-                yield sent(answer)
+                yield send_effect(answer)
 
 
-def _serve_waiting(instance: Instance, now: float) -> Iterator[Effect]:
+def _process_queues(instance: Instance, now: float) -> Iterator[Effect]:
     for service, state in instance.services.items():
         if state.retries.entries:
-            yield from give_up_retries(instance, service, now)
+            yield from expire_retries(instance, service, now)
         if state.queue.entries:
-            yield from give_up_waiting(instance, service, now)
+            yield from expire_queued(instance, service, now)
             yield from dispatch_waiting(instance, service, now)
 
 
-# -- heartbeats, seats, shares
+# -- heartbeats, seats and their shares
 
 
-def _slow_round(instance: Instance, now: float) -> Iterator[Effect]:
+def _heartbeat_round(instance: Instance, now: float) -> Iterator[Effect]:
     instance.membership.forget_dead(now, instance.settings)
     targets = instance.membership.round_targets(now, instance.settings)
     sample = instance.membership.sample(instance.settings)
     message = Heartbeat(
         instance.record(now),
         sample,
-        crashes_to_tell(instance, now),
-        limits_to_tell(instance, now),
+        crashes_to_advertise(instance, now),
+        named_limits_to_advertise(instance, now),
     )
     for target in targets:
         yield SendMessage(target, message)
-    _sum_region_use(instance, now)
+    _sum_peer_slot_usage(instance, now)
     instance.seats.observe(instance.seat_view(now))
-    yield from follow_seats(instance)
-    yield from _offers(instance, now)
+    yield from sync_ledger(instance)
+    yield from _send_seat_offers(instance, now)
     yield from _write_seats(instance, now)
     _settle(instance, now)
 
 
-def _offers(instance: Instance, now: float) -> Iterator[Effect]:
+def _send_seat_offers(instance: Instance, now: float) -> Iterator[Effect]:
     view = instance.seat_view(now)
     keeper = instance.seats
     keeper.drop_stale_offers(view)
@@ -208,7 +212,7 @@
         surplus = keeper.surplus_receiver(view)
         if surplus:
             keeper.offer(*surplus)
-            yield from follow_seats(instance)
+            yield from sync_ledger(instance)
     for open_offer in keeper.offers.values():
         due = now - open_offer.sent_at >= instance.settings.offer_interval
         if due and instance.ledger.fits(keeper.held):
@@ -219,7 +223,7 @@
 
 
 def _write_seats(instance: Instance, now: float) -> Iterator[Effect]:
-    if now < instance.next_seat_write_at or instance.resting:
+    if now < instance.next_seat_write_at or instance.isolated:
         return
     table = instance.seats.next_table(instance.seat_view(now))
     if table is None:
@@ -232,7 +236,7 @@
             yield Note(NoteKind.SEAT_INTENT, str(record.seat))
 
 
-def _take_table(
+def _apply_seat_table(
     instance: Instance,
     table: SeatTable | None,
     version: int,
@@ -242,10 +246,10 @@
         yield Note(NoteKind.SEAT_LOST, str(lost))
     for gained in instance.seats.adopt_recorded_seats():
         yield Note(NoteKind.SEAT_HELD, str(gained))
-    yield from follow_seats(instance)
+    yield from sync_ledger(instance)
 
 
-def _sum_region_use(instance: Instance, now: float) -> None:
+def _sum_peer_slot_usage(instance: Instance, now: float) -> None:
     use: dict[str, int] = {}
     for record in instance.membership.live(
         now, instance.settings, instance.place.region
@@ -253,7 +257,7 @@
         for spare in record.spares:
             used = spare.usable - spare.idle
             use[spare.service] = use.get(spare.service, 0) + used
-    instance.region_use = use
+    instance.peer_slot_usage = use
 
 
 def _settle(instance: Instance, now: float) -> None:
@@ -283,25 +287,25 @@
         instance.started_at,
     )
     silence = now - contact
-    alone = not instance.membership.members
-    isolated = not alone and silence >= instance.settings.isolation_after
-    if isolated and not instance.resting:
-        instance.resting = True
+    has_no_peers = not instance.membership.members
+    isolated = not has_no_peers and silence >= instance.settings.isolation_after
+    if isolated and not instance.isolated:
+        instance.isolated = True
         instance.isolated_since = contact
-        yield from follow_seats(instance)
+        yield from sync_ledger(instance)
         yield Note(NoteKind.ISOLATED, instance.who.label)
-    elif instance.resting and not isolated:
+    elif instance.isolated and not isolated:
         yield from _end_isolation(instance, now)
 
 
 def _end_isolation(instance: Instance, now: float) -> Iterator[Effect]:
-    claim = 2 * instance.settings.reclaim_after
-    away = now - instance.isolated_since
-    if away >= claim - instance.settings.pause_limit:
+    claim_timeout = 2 * instance.settings.reclaim_after
+    isolated_for = now - instance.isolated_since
+    if isolated_for >= claim_timeout - instance.settings.pause_limit:
         yield from rejoin_after_pause(instance, now)
     else:
-        instance.resting = False
-        yield from follow_seats(instance)
+        instance.isolated = False
+        yield from sync_ledger(instance)
 
 
 # -- leaving
@@ -315,14 +319,14 @@
         return
     instance.lending.mark_all_recalled()
     for answer in instance.lending.return_all_loans(now):
-        yield sent(answer)
+        yield send_effect(answer)
     yield from _transfer_seats(instance, now)
-    if not _is_empty_handed(instance, now):
+    if not _has_transferred_all(instance, now):
         return
     leaving.done = True
     yield Note(NoteKind.LEFT, instance.who.label)
     if leaving.exits:
-        yield from _tell_everybody(instance, now)
+        yield from _broadcast_record(instance, now)
         yield ExitProcess()
 
 
@@ -330,26 +334,26 @@
     successor = instance.seats.successor(instance.seat_view(now))
     if successor and instance.seats.held and not instance.seats.offers:
         instance.seats.offer(min(instance.seats.held), successor)
-        yield from follow_seats(instance)
+        yield from sync_ledger(instance)
 
 
-def _is_empty_handed(instance: Instance, now: float) -> bool:
+def _has_transferred_all(instance: Instance, now: float) -> bool:
     if not instance.seats.held and not instance.seats.offers:
         return True
     settings = instance.settings
-    patience = settings.loan_duration + settings.longest_run + _LEAVE_MARGIN
+    max_wait = settings.loan_duration + settings.longest_run + _LEAVE_MARGIN
     leaving = instance.leaving
     waited = now - leaving.accepts_until if leaving else 0
-    return waited >= patience
+    return waited >= max_wait
 
 
-def _tell_everybody(instance: Instance, now: float) -> Iterator[Effect]:
+def _broadcast_record(instance: Instance, now: float) -> Iterator[Effect]:
     instance.membership.counter += 1
     message = Heartbeat(instance.record(now))
-    yield from _to_all(instance, message, now)
+    yield from _broadcast(instance, message, now)
 
 
-def _to_all(
+def _broadcast(
     instance: Instance,
     message: Heartbeat,
     now: float,
--- a/worksrail/core/_pacing.py
+++ b/worksrail/core/_pacing.py
@@ -1,4 +1,4 @@
-"""Limits that upstreams name: learnt, told, and kept with tokens."""
+"""Rate limits named by upstreams: learning, advertising, token requests."""
 
 from collections.abc import Iterable, Iterator
 from typing import Final
@@ -19,8 +19,8 @@
 )
 from worksrail.core.requests.active import ActiveRequest
 
-# Limits that upstreams named, in one heartbeat.
-_NAMED_LIMITS_LIMIT: Final = 32
+# Maximum number of named limits in one heartbeat.
+_MAX_LIMITS_PER_HEARTBEAT: Final = 32
 
 
 def learn_limit(
@@ -28,7 +28,7 @@
     active: ActiveRequest,
     event: AttemptEnded,
 ) -> Iterator[Note]:
-    """Take in what an answer says of its upstream's limit."""
+    """Record the rate limit that an answer names for its upstream."""
     if event.limit is None or active.upstream is None:
         return
     if event.limit.rate is NoRate.UNREADABLE:
@@ -42,31 +42,31 @@
 
 def receive_named_limits(
     instance: Instance,
-    told: Iterable[AdvertisedLimit],
+    advertised: Iterable[AdvertisedLimit],
     now: float,
 ) -> Iterator[Note]:
-    """Take in what another instance tells of limits that upstreams name."""
+    """Apply named limits that another instance advertises."""
     topology = instance.configuration.topology
     known = topology.upstreams if topology else {}
-    for change in receive_limits(instance.pacer, told, known, now):
+    for change in receive_limits(instance.pacer, advertised, known, now):
         yield _note(change)
 
 
-def limits_to_tell(
+def named_limits_to_advertise(
     instance: Instance, now: float
 ) -> tuple[AdvertisedLimit, ...]:
-    """What a heartbeat tells of limits that upstreams name."""
+    """Named limits to advertise in a heartbeat."""
     return instance.pacer.limits.advertise(
-        _NAMED_LIMITS_LIMIT, now, with_all=True
+        _MAX_LIMITS_PER_HEARTBEAT, now, with_all=True
     )
 
 
-def take_pacing_message(
+def handle_pacing_message(
     instance: Instance,
     message: PacingMessage,
     now: float,
 ) -> Iterator[Note | SendMessage]:
-    """Issue tokens, or take in those that another instance issued."""
+    """Issue tokens on request, or store those that another instance issued."""
     yield from receive_named_limits(instance, message.limits, now)
     if isinstance(message, TokenRequest):
         yield SendMessage(message.peer, instance.pacer.serve(message, now))
@@ -75,7 +75,7 @@
 
 
 def maintain_pacing(instance: Instance, now: float) -> Iterator[SendMessage]:
-    """Follow who issues tokens; ask, return, and give up on who is silent."""
+    """Update the token issuers, time out their requests and send new ones."""
     pacer = instance.pacer
     if not pacer.has_limits:
         return
--- a/worksrail/core/_placing.py
+++ b/worksrail/core/_placing.py
@@ -1,11 +1,11 @@
-"""Where a request goes: an upstream here, another region, or nowhere."""
+"""Choosing where a request runs, and acquiring the permits it needs there."""
 
 import heapq
 from collections.abc import Iterator
 from dataclasses import dataclass
 from typing import Final
 
-from worksrail.core._tokens import MOST_ASKED, has_token
+from worksrail.core._tokens import MAX_TOKEN_REQUESTS, has_token
 from worksrail.core.bundle import CompiledService, Topology
 from worksrail.core.effects import Effect, Note, NoteKind, SendUpstream
 from worksrail.core.identity import RegionName
@@ -26,32 +26,32 @@
 from worksrail.core.requests.active import ActiveRequest, RequestState
 from worksrail.core.results import ResultCode
 
-_DRAWS: Final = 3
+_SAMPLE_SIZE: Final = 3
 _RATE_WINDOW: Final = 1.0
-# A shifted request is written within this time after the decision, or not.
-_START_SLACK: Final = 0.05
-_SHORTEST_RETRY: Final = 0.5
-_LONGEST_RETRY: Final = 5.0
-_RETRY_SPREAD: Final = (0.5, 1.5)
+# A shifted request is not sent later than this after its permits were taken.
+_MAX_START_DELAY: Final = 0.05
+_MIN_RETRY_DELAY: Final = 0.5
+_MAX_RETRY_DELAY: Final = 5.0
+_RETRY_JITTER: Final = (0.5, 1.5)
 
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """Permits for an upstream here."""
+    """A local upstream and the permits for one attempt at it."""
 
     upstream: PoolKey
     """Slot pool of the chosen upstream."""
 
     holds: tuple[Hold, ...]
-    """Permits held for the request."""
+    """The slot permit, then the shift-cap permits of a shifted request."""
 
 
-def placement_here(
+def acquire_local_permits(
     instance: Instance,
     active: ActiveRequest,
     now: float,
 ) -> Placement | ResultCode:
-    """Take all permits that the request needs here, or none."""
+    """Take all permits that the request needs in this region, or none."""
     topology = _topology(instance)
     view = topology.services[active.service]
     shifted = active.home != instance.place.region
@@ -62,7 +62,7 @@
     caps = _cap_holds(instance, active, view, now) if shifted else ()
     if isinstance(caps, ResultCode):
         return caps
-    slot = _slot_hold(instance, active, now)
+    slot = _acquire_slot(instance, active, now)
     if isinstance(slot, NoPermit):
         release_all(instance, caps, now)
         if slot is NoPermit.RATE_LIMITED:
@@ -79,7 +79,7 @@
     placement: Placement,
     now: float,
 ) -> Iterator[Effect]:
-    """Send a request to the upstream it has permits for."""
+    """Send a request to the upstream for which permits were taken."""
     topology = _topology(instance)
     _, upstream = topology.upstreams[placement.upstream]
     active.state = RequestState.SENT
@@ -89,7 +89,7 @@
     instance.pacer.record_sent(placement.upstream, now)
     active.crash_number = instance.quarantine.begin(active.fingerprint, now)
     active.holds = tuple(hold for hold in placement.holds if not _is_rate(hold))
-    _hold_for_a_second(instance, placement.holds, now)
+    _hold_rate_permits(instance, placement.holds, now)
     yield SendUpstream(
         active.number,
         upstream.name,
@@ -104,21 +104,21 @@
 def _latest_start(placement: Placement, now: float) -> float:
     latest = min(hold.not_after for hold in placement.holds)
     shifted = len(placement.holds) > 1
-    return min(latest, now + _START_SLACK) if shifted else latest
+    return min(latest, now + _MAX_START_DELAY) if shifted else latest
 
 
-def passing_target(
+def choose_remote_instance(
     instance: Instance,
     active: ActiveRequest,
     now: float,
 ) -> MemberRecord | None:
-    """An instance of another region that could serve the request."""
+    """Choose an instance of another region that can serve the request."""
     topology = _topology(instance)
     caps = topology.services[active.service].caps
     for region in _regions_to_try(instance, active, topology):
         if region != active.home and (active.home, region) not in caps:
             continue
-        target = _roomiest(instance, active.service, region, now)
+        target = _choose_by_free_slots(instance, active.service, region, now)
         if target:
             return target
         active.tried_regions.add(region)
@@ -130,29 +130,29 @@
     holds: tuple[Hold, ...],
     now: float,
 ) -> None:
-    """Give back permits."""
+    """Return permits to the ledger."""
     for hold in holds:
         instance.ledger.release(hold, now)
 
 
 def retry_after(instance: Instance, service: str) -> float:
-    """Seconds after which a refused caller should come back.
+    """Seconds after which a refused caller should retry.
 
-    It grows with the queue and is spread, so that callers that were refused
-    together do not come back together.
+    The delay grows with the expected queueing time.  Jitter keeps callers that
+    were refused together from retrying together.
     """
     state = instance.service_state(service)
     group = instance.ledger.groups.get(slot_group(service))
-    servers = group.usable if group else 0
-    wait = state.queue.expected_wait(state.typical_latency, servers)
-    base = min(_LONGEST_RETRY, max(_SHORTEST_RETRY, wait))
-    return round(base * instance.rng.uniform(*_RETRY_SPREAD), 2)
+    slots = group.usable if group else 0
+    wait = state.queue.expected_wait(state.typical_latency, slots)
+    base = min(_MAX_RETRY_DELAY, max(_MIN_RETRY_DELAY, wait))
+    return round(base * instance.rng.uniform(*_RETRY_JITTER), 2)
 
 
 def _topology(instance: Instance) -> Topology:
     topology = instance.configuration.topology
     if topology is None:
-        raise AssertionError('placed before a configuration was in force')
+        raise AssertionError('no configuration is in force')
     return topology
 
 
@@ -168,9 +168,9 @@
     open_share = 1 - region.headroom
     if group.in_use + 1 > int(group.usable * open_share):
         return ResultCode.HEADROOM_REACHED
-    # What the other entries use is known from their heartbeats, a little
-    # late; the bound above holds in any case.
-    use = instance.region_use.get(active.service, 0) + group.in_use + 1
+    # Usage of the other entries comes from their heartbeats and lags a little.
+    # The check above uses local state only, so its bound always holds.
+    use = instance.peer_slot_usage.get(active.service, 0) + group.in_use + 1
     slots = topology.undrained_slots(
         active.service, region.name, instance.configuration.drains
     )
@@ -190,18 +190,18 @@
         return ResultCode.CAP_REACHED
     if not _rise_allows(instance, active, cap.rise, now):
         return ResultCode.CAP_REACHED
-    taken: list[Hold] = []
+    acquired: list[Hold] = []
     for kind in (PoolKind.RATE, PoolKind.FLIGHT):
         key = cap_pool(kind, active.service, active.home)
         hold = instance.ledger.take(key, now)
         instance.lending.record_use(cap_group(key))
         if isinstance(hold, NoPermit):
-            release_all(instance, tuple(taken), now)
+            release_all(instance, tuple(acquired), now)
             instance.lending.set_shortage(cap_group(key), 1)
             return ResultCode.CAP_REACHED
         instance.lending.set_shortage(cap_group(key), 0)
-        taken.append(hold)
-    return tuple(taken)
+        acquired.append(hold)
+    return tuple(acquired)
 
 
 def _rise_allows(
@@ -218,7 +218,7 @@
     return limit.allows(share, now)
 
 
-def _slot_hold(
+def _acquire_slot(
     instance: Instance,
     active: ActiveRequest,
     now: float,
@@ -227,17 +227,21 @@
     if group is None:
         return NoPermit.UNKNOWN_POOL
     typical = instance.service_state(active.service).typical_latency
-    drawn = [
+    sampled = [
         key
-        for key in group.available.draw(instance.rng, _draws(instance, group))
+        for key in group.available.draw(
+            instance.rng, _sample_size(instance, group)
+        )
         if key not in active.tried
     ]
-    drawn.sort(
+    sampled.sort(
         key=lambda key: instance.upstream_health(key).score(typical, now)
     )
     asked = 0
-    for key in drawn:
-        if not has_token(instance, key, now, may_ask=asked < MOST_ASKED):
+    for key in sampled:
+        if not has_token(
+            instance, key, now, may_request=asked < MAX_TOKEN_REQUESTS
+        ):
             asked += 1
             continue
         hold = instance.ledger.take(key, now)
@@ -249,30 +253,32 @@
     return NoPermit.ALL_IN_USE
 
 
-def _draws(instance: Instance, group: Group) -> int:
-    # Upstreams without a token may be drawn in vain.
-    return len(group.available.keys) if instance.pacer.has_limits else _DRAWS
+def _sample_size(instance: Instance, group: Group) -> int:
+    # Sampled upstreams may lack a token, so with rate limits all are tried.
+    return (
+        len(group.available.keys) if instance.pacer.has_limits else _SAMPLE_SIZE
+    )
 
 
 def _is_rate(hold: Hold) -> bool:
     return hold.pool.startswith(PoolKind.RATE.value)
 
 
-def _hold_for_a_second(
+def _hold_rate_permits(
     instance: Instance,
     holds: tuple[Hold, ...],
     now: float,
 ) -> None:
-    # A rate permit allows one start within a second: it is held that long.
+    # A rate permit allows one start per window, so it is held for the window.
     for hold in holds:
         if _is_rate(hold):
-            until = now + _RATE_WINDOW + _START_SLACK
+            until = now + _RATE_WINDOW + _MAX_START_DELAY
             release = TimedRelease(until, hold)
             hold_until(instance, release)
 
 
 def hold_until(instance: Instance, release: TimedRelease) -> None:
-    """Hold a permit until a point in time."""
+    """Schedule the release of a permit."""
     heapq.heappush(instance.releases, release)
 
 
@@ -291,7 +297,7 @@
     ]
 
 
-def _roomiest(
+def _choose_by_free_slots(
     instance: Instance,
     service: str,
     region: RegionName,
@@ -307,5 +313,5 @@
     ]
     if not candidates:
         return None
-    drawn = instance.rng.sample(candidates, min(2, len(candidates)))
-    return max(drawn, key=lambda drawn_one: drawn_one[:2])[2]
+    sampled = instance.rng.sample(candidates, min(2, len(candidates)))
+    return max(sampled, key=lambda candidate: candidate[:2])[2]
--- a/worksrail/core/_quarantining.py
+++ b/worksrail/core/_quarantining.py
@@ -1,4 +1,4 @@
-"""Holds requests under which upstreams crash, and tells others of them."""
+"""Quarantine of requests that crash upstreams, and what is advertised of it."""
 
 from collections.abc import Iterable, Iterator
 from typing import Final
@@ -16,9 +16,9 @@
 )
 from worksrail.core.requests.active import ActiveRequest
 
-# Changes in what is known of requests with crashes under them, in a heartbeat.
-_CRASHES_LIMIT: Final = 64
-_BROKEN: Final = frozenset(
+# Maximum number of changed crash records in one heartbeat.
+_MAX_CRASHES_PER_HEARTBEAT: Final = 64
+_CONNECTION_BROKEN: Final = frozenset(
     (AttemptOutcome.BROKE_BEFORE_ANSWER, AttemptOutcome.BROKE_IN_ANSWER)
 )
 
@@ -28,9 +28,10 @@
     active: ActiveRequest,
     event: RequestArrived,
 ) -> Fingerprint:
-    """What a request has in common with its repetitions by the caller.
+    """Fingerprint that a request shares with its repetitions by the caller.
 
-    Its trace and idempotency key are of one arrival or one order only.
+    Trace and idempotency key are left out: they change with each arrival or
+    each order.
     """
     head = event.head
     texts = (active.customer, head.method, head.host, head.path)
@@ -39,7 +40,7 @@
 
 
 def hold_time(instance: Instance, active: ActiveRequest, now: float) -> float:
-    """Seconds for which a request must not be sent; zero if it may be."""
+    """Remaining seconds of a request's quarantine; zero if it may be sent."""
     return instance.quarantine.hold_time(
         active.fingerprint, now, active.crash_number
     )
@@ -50,11 +51,11 @@
     active: ActiveRequest,
     event: AttemptEnded,
 ) -> Iterator[Note]:
-    """Take in what the end of an attempt says of the request itself."""
+    """Record a crash or an answer under a request's fingerprint."""
     if event.outcome is AttemptOutcome.ANSWERED:
         if instance.quarantine.record_response(active.fingerprint, event.now):
             yield _note(NoteKind.QUARANTINE_CLEARED, active)
-    elif event.outcome in _BROKEN and active.upstream is not None:
+    elif event.outcome in _CONNECTION_BROKEN and active.upstream is not None:
         crash = Crash(
             str(active.upstream),
             active.crash_number,
@@ -70,12 +71,14 @@
             yield _note(NoteKind.QUARANTINED, active)
 
 
-def crashes_to_tell(
+def crashes_to_advertise(
     instance: Instance,
     now: float,
 ) -> tuple[AdvertisedCrashes, ...]:
-    """What a heartbeat tells of requests that crash upstreams."""
-    return instance.quarantine.advertise(_CRASHES_LIMIT, now, instance.rng)
+    """Crash records to advertise in a heartbeat."""
+    return instance.quarantine.advertise(
+        _MAX_CRASHES_PER_HEARTBEAT, now, instance.rng
+    )
 
 
 def receive_crashes(
@@ -83,10 +86,10 @@
     crashes: Iterable[AdvertisedCrashes],
     now: float,
 ) -> Iterator[Note]:
-    """Take in what another instance tells of them."""
-    for told in crashes:
-        if instance.quarantine.receive(told, now):
-            yield Note(NoteKind.QUARANTINED, label(told.fingerprint))
+    """Apply crash records that another instance advertises."""
+    for advertised in crashes:
+        if instance.quarantine.receive(advertised, now):
+            yield Note(NoteKind.QUARANTINED, label(advertised.fingerprint))
 
 
 def _note(kind: NoteKind, active: ActiveRequest) -> Note:
--- a/worksrail/core/_rendezvous.py
+++ b/worksrail/core/_rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: who of the live instances does a duty."""
+"""Rendezvous hashing: assigns each duty to one of the live instances."""
 
 from collections.abc import Iterable
 
@@ -6,15 +6,15 @@
 
 
 def rendezvous_weight(duty: str, name: str) -> int:
-    """Weight of a name for a duty; equal everywhere."""
+    """Weight of a name for a duty; the same on every instance."""
     return xxhash.xxh64_intdigest(f'{duty}|{name}'.encode())
 
 
 def rendezvous(duty: str, names: Iterable[str]) -> str:
-    """Name that does the duty; empty when there are no names.
+    """Return the name to which a duty is assigned; empty without names.
 
-    Two instances that see different members may both take a duty; every
-    duty is therefore harmless when done twice.
+    Two instances that see different members may both perform a duty, so
+    performing any duty twice must be harmless.
 
     >>> rendezvous('watch', ['a']) == 'a'
     True
--- a/worksrail/core/_retrying.py
+++ b/worksrail/core/_retrying.py
@@ -1,4 +1,4 @@
-"""Who may be sent again: a retry is paid for in the step that sends it."""
+"""Retry rules: the budget is charged in the step that sends the retry."""
 
 from typing import Final
 
@@ -17,18 +17,18 @@
         ResultCode.PEER_BROKE,
     )
 )
-"""Ends of a request that may have reached an upstream before."""
+"""Results after which the request may have reached an upstream."""
 
 
-def may_go(instance: Instance, active: ActiveRequest) -> bool:
-    """Whether it is sent for the first time, or the budget allows it."""
+def may_send(instance: Instance, active: ActiveRequest) -> bool:
+    """Whether this is the first attempt or the budget allows a retry."""
     if active.failed_with is None:
         return True
     return instance.retry_budget(active.service).has_retry
 
 
-def pay(instance: Instance, active: ActiveRequest) -> None:
-    """Let the budget pay if this is a retry."""
+def charge_budget(instance: Instance, active: ActiveRequest) -> None:
+    """Charge the retry budget if this is a retry."""
     if active.failed_with is not None:
         instance.retry_budget(active.service).spend()
         active.failed_with = None
@@ -37,22 +37,22 @@
 def is_earned_within(
     instance: Instance,
     active: ActiveRequest,
-    patience: float,
+    max_wait: float,
     now: float,
 ) -> bool:
-    """Whether a retry is expected to be earned for it in time."""
+    """Whether the budget is expected to allow a retry within a maximum wait."""
     ahead = len(instance.service_state(active.service).retries)
     if active.caller_gone or ahead >= instance.settings.queue_limit:
         return False
     budget = instance.retry_budget(active.service)
-    return budget.expected_wait(ahead, now) <= patience
+    return budget.expected_wait(ahead, now) <= max_wait
 
 
 def reported_code(active: ActiveRequest, code: ResultCode) -> ResultCode:
-    """The end that whoever passed it on is told.
+    """Result code reported to the instance that passed the request on.
 
-    That an upstream has had it must not be hidden by a later refusal: sending
-    it once more would be a retry that nobody pays for.
+    A later refusal must not hide that an upstream may have received the
+    request: sending it again would be a retry that no budget is charged for.
     """
     shifted = active.head.passing is ArrivalPath.SHIFTED
     if not shifted or code in MAYBE_SENT or code is ResultCode.REQUEST_HELD:
--- a/worksrail/core/_tokens.py
+++ b/worksrail/core/_tokens.py
@@ -1,4 +1,4 @@
-"""Whether a request may go to an upstream that names a limit."""
+"""Tokens for requests to upstreams that name a rate limit."""
 
 from collections.abc import Iterator
 from typing import Final
@@ -8,11 +8,11 @@
 from worksrail.core.pacing import Permission
 from worksrail.core.permits import PoolKey, slot_group
 
-TOKEN_PATIENCE: Final = 0.3
-"""Seconds for which a request waits for a token that was asked for."""
+MAX_TOKEN_WAIT: Final = 0.3
+"""Maximum seconds for which a request waits for a requested token."""
 
-MOST_ASKED: Final = 3
-"""Tokens that one request asks for at once."""
+MAX_TOKEN_REQUESTS: Final = 3
+"""Maximum number of upstreams for which one placement requests tokens."""
 
 
 def has_token(
@@ -20,11 +20,11 @@
     upstream: PoolKey,
     now: float,
     *,
-    may_ask: bool,
+    may_request: bool,
 ) -> bool:
-    """Whether a request may go there now; a token is asked for if not."""
+    """Whether a request may be sent now; if not, a token may be requested."""
     pacer = instance.pacer
-    if not may_ask:
+    if not may_request:
         return pacer.permission(upstream, now) is Permission.GRANTED
     permission = pacer.obtain(upstream, now)
     if permission is Permission.DENIED:
@@ -32,8 +32,8 @@
     return permission is Permission.GRANTED
 
 
-def expects_token(instance: Instance) -> bool:
-    """Whether an issuer was asked and has not answered yet."""
+def awaits_token(instance: Instance) -> bool:
+    """Whether a token request is awaiting its answer."""
     return bool(instance.pacer.asked)
 
 
@@ -41,13 +41,13 @@
     instance: Instance,
     now: float,
 ) -> Iterator[SendMessage]:
-    """Ask for the tokens that are wanted, and return those not used."""
+    """Request the tokens that are wanted, and return unused ones."""
     for addressed in instance.pacer.make_requests(now):
         yield SendMessage(addressed.peer, addressed.request)
 
 
 def delay_until_token(instance: Instance, service: str, now: float) -> float:
-    """Seconds until a token is expected at any upstream of a service."""
+    """Seconds until a token is expected for any upstream of a service."""
     group = instance.ledger.groups.get(slot_group(service))
     keys = group.available.keys if group else ()
     return min((instance.pacer.wait(key, now) for key in keys), default=0)
--- a/worksrail/core/customers.py
+++ b/worksrail/core/customers.py
@@ -1,7 +1,7 @@
-"""Customers: who may call, with which keys, from where and how often.
+"""Customers: their API keys, permitted regions, priorities and quotas.
 
-Keys themselves are kept nowhere: a customer is found by the SHA-256 of the key
-that came, so neither a log line nor a time of comparison can tell one.
+Keys themselves are not stored: a customer is looked up by the SHA-256 of the
+key in the request, so neither log lines nor comparison times leak a key.
 """
 
 import hashlib
@@ -28,26 +28,24 @@
 class NoCustomer(Enum):
     """Sentinel: why a request belongs to no customer."""
 
-    KEY_NOT_REQUIRED = (
-        'the configuration has no customers, so nobody needs a key'
-    )
+    KEY_NOT_REQUIRED = 'the configuration has no customers, so no key is needed'
     PUBLIC_ROUTE = 'the route is open to callers without a key'
-    UNKNOWN_KEY = 'no customer holds the key that came, or none came'
+    UNKNOWN_KEY = 'no customer holds the key, or the request has none'
 
 
 class DuplicateKeyError(ValueError):
-    """Two customers hold one key, so it does not say who calls."""
+    """Two customers hold the same key, so it does not identify the caller."""
 
 
 @dataclass(frozen=True, slots=True)
 class Quota:
-    """How many requests of a customer may be executed, over all entries."""
+    """Limit on the executed requests of a customer, over all entries."""
 
     rate: float
-    """Requests a second; above zero."""
+    """Requests per second; above zero."""
 
     burst: float = 0
-    """Requests that may come on top of the rate at once."""
+    """Requests allowed at once in addition to the rate."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,17 +53,17 @@
     """One customer of the operators."""
 
     name: CustomerName
-    """Unique name; upstreams are told it."""
+    """Unique name, which is sent to upstreams."""
 
     keys: tuple[KeyDigest, ...] = ()
-    """Digests of its keys; without one it cannot call."""
+    """Digests of its API keys; a customer without a key cannot call."""
 
     regions: frozenset[RegionName] = frozenset()
     """Regions that may serve it; empty means all."""
 
     priority: int | None = None
-    """Rank of its requests, before that of their route; zero is the most
-    urgent, None leaves it to the route."""
+    """Priority of its requests, which overrides that of the route; zero is
+    the most urgent, None leaves the priority to the route."""
 
     quota: Quota | None = None
     """Limit on its requests; None means no limit."""
@@ -73,17 +71,17 @@
 
 @dataclass(frozen=True, slots=True)
 class CustomerTable:
-    """All customers of one configuration; never changed in place."""
+    """All customers of one configuration; immutable."""
 
     customers: dict[CustomerName, Customer]
     """Customers by name."""
 
     holders: dict[KeyDigest, CustomerName]
-    """Who holds a key, by its digest."""
+    """Name of the customer that holds a key, by digest of the key."""
 
     @classmethod
     def from_customers(cls, customers: Iterable[Customer]) -> 'CustomerTable':
-        """Index customers; raises ``SharedKeyError``."""
+        """Index customers; raises ``DuplicateKeyError``."""
         by_name: dict[CustomerName, Customer] = {}
         holders: dict[KeyDigest, CustomerName] = {}
         for customer in customers:
@@ -97,7 +95,7 @@
         return cls(by_name, holders)
 
     def find_by_key(self, key: KeyDigest) -> Customer | NoCustomer:
-        """The customer that holds a key."""
+        """Return the customer that holds a key."""
         name = self.holders.get(key)
         if name is None:
             return NoCustomer.UNKNOWN_KEY
--- a/worksrail/core/drains.py
+++ b/worksrail/core/drains.py
@@ -1,4 +1,4 @@
-"""Planned drains: what they would leave, and what remains to finish."""
+"""Planned drains: their effect on capacity, and the requests in flight."""
 
 from dataclasses import dataclass
 
@@ -10,48 +10,48 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainImpact:
-    """What a drain does to one service in one region."""
+    """Effect of a drain on one service in one region."""
 
     service: ServiceName
-    """Which service."""
+    """Name of the service."""
 
     region: RegionName
-    """Which region."""
+    """Name of the region."""
 
     slots: int
-    """Slots that take work now."""
+    """Slots that accept requests now."""
 
     slots_after: int
-    """Slots that would take work after the drain."""
+    """Slots that would accept requests after the drain."""
 
     in_use: int
-    """Slots in use now, by the entries' last word."""
+    """Slots in use now, as last reported by the entries."""
 
     bound_after: int
-    """Slots that may be used after the drain, headroom kept."""
+    """Slots that may be used after the drain, without the headroom."""
 
     outflow: int
-    """Requests that shift caps let go to other regions at once."""
+    """Concurrent requests that shift caps allow to other regions."""
 
     @property
     def fits(self) -> bool:
-        """Whether the present load still has a place."""
+        """Whether the remaining capacity covers the current load."""
         return self.in_use <= self.bound_after + self.outflow
 
 
 @dataclass(frozen=True, slots=True)
 class Remaining:
-    """Requests still in flight at an upstream that is drained."""
+    """Requests still in flight at a drained upstream."""
 
     upstream: str
     """Name of the upstream."""
 
     in_flight: int
-    """Requests of this entry that it is still running."""
+    """Requests from this entry that it is still running."""
 
 
 def is_known_target(instance: Instance, drain: Drain) -> bool:
-    """Whether a drain names something that exists."""
+    """Whether the target of a drain exists."""
     topology = instance.configuration.topology
     if topology is None:
         return False
@@ -71,13 +71,13 @@
     drain: Drain,
     now: float,
 ) -> tuple[DrainImpact, ...]:
-    """Figures of all services and regions that a drain touches."""
+    """Compute the effect of a drain on each service and region it affects."""
     topology = instance.configuration.topology
     if topology is None:
         return ()
     usage = _usage(instance, now)
     figures = [
-        _figure(instance, topology, drain, place, usage.get(place, 0))
+        _impact(instance, topology, drain, place, usage.get(place, 0))
         for place in _places(topology)
     ]
     return tuple(
@@ -86,7 +86,7 @@
 
 
 def remaining_work(instance: Instance) -> tuple[Remaining, ...]:
-    """Requests of this entry that run at upstreams that are drained."""
+    """Count the requests from this entry that run at drained upstreams."""
     topology = instance.configuration.topology
     if topology is None:
         return ()
@@ -113,7 +113,7 @@
     ]
 
 
-def _figure(
+def _impact(
     instance: Instance,
     topology: Topology,
     drain: Drain,
--- a/worksrail/core/effects.py
+++ b/worksrail/core/effects.py
@@ -1,7 +1,7 @@
-"""Everything an instance can do to the outside, as data.
+"""Effects: every action of an instance on the outside world, as data.
 
 The reducer returns effects; the daemon and the tests run them.  An effect
-never reports back by itself: what comes of it arrives as a later event.
+returns nothing: its outcome arrives as a later event.
 """
 
 from dataclasses import dataclass
@@ -19,10 +19,10 @@
     """Send a message to another instance; it may be lost."""
 
     receiver: InstanceName
-    """Who shall get it."""
+    """Instance to send to."""
 
     message: AnyMessage
-    """What to say."""
+    """Message to send."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,22 +30,22 @@
     """Send a request to an upstream."""
 
     request: RequestId
-    """Which request."""
+    """Number of the request."""
 
     upstream: str
     """Name of the upstream."""
 
     address: str
-    """Its IP number and port."""
+    """Its IP address and port."""
 
     not_after: float
-    """If the clock shows this before the first byte, it is not sent."""
+    """Time after which the first byte must not be sent any more."""
 
     deadline: float
-    """When the request is given up."""
+    """When the request times out."""
 
     may_cancel: bool
-    """Whether it may be cut off after its first byte."""
+    """Whether it may be cancelled after its first byte."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,22 +53,22 @@
     """Pass a request to another instance."""
 
     request: RequestId
-    """Which request."""
+    """Number of the request."""
 
     receiver: InstanceName
-    """Who shall serve it."""
+    """Instance that is to serve it."""
 
     address: str
     """Address of the receiver for passed requests."""
 
     deadline: float
-    """When the request is given up."""
+    """When the request times out."""
 
     home: str
     """Home region of the caller."""
 
     to_owner: bool
-    """It goes to the owner of its ticket, which decides afresh."""
+    """The receiver owns the ticket and makes its own routing decision."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,32 +76,32 @@
     """Answer a request with a result code."""
 
     request: RequestId
-    """Which request."""
+    """Number of the request."""
 
     code: ResultCode
-    """What to tell."""
+    """Result code of the answer."""
 
     retry_after: float = 0
     """Seconds after which a retry makes sense."""
 
     entry: str = ''
-    """Address of another entry to use, if one is known."""
+    """Address of another entry to use; empty if none is known."""
 
 
 @dataclass(frozen=True, slots=True)
 class CancelRequest:
-    """Cut off what was sent for a request."""
+    """Cancel a request that was sent to an upstream."""
 
     request: RequestId
-    """Which request."""
+    """Number of the request."""
 
 
 @dataclass(frozen=True, slots=True)
 class FetchBundle:
-    """Get a bundle, from the store or from other instances."""
+    """Fetch a bundle from the store or from other instances."""
 
     generation: int
-    """For which generation."""
+    """Generation that needs the bundle."""
 
     digest: str
     """Digest of the bundle."""
@@ -112,31 +112,31 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteSeatTable:
-    """Update the seat table if it still has the expected version."""
+    """Update the seat table in the store if it has the expected version."""
 
     expected: int
-    """Version that the update is based on."""
+    """Version on which the update is based."""
 
     table: SeatTable
-    """The next table."""
+    """The new table."""
 
 
 @dataclass(frozen=True, slots=True)
 class BecomeIncarnation:
-    """Use a new incarnation from now on."""
+    """Continue as a new incarnation."""
 
     who: Incarnation
-    """The new one."""
+    """The new incarnation."""
 
 
 @dataclass(frozen=True, slots=True)
 class ExitProcess:
-    """The graceful stop is complete."""
+    """Exit, as the graceful stop is complete."""
 
 
 @unique
 class NoteKind(Enum):
-    """Kinds of events on the time line."""
+    """Kinds of entries in the time line."""
 
     GENERATION_APPLIED = 'generation-applied'
     OLDER_HEAD_IGNORED = 'older-head-ignored'
@@ -168,19 +168,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Note:
-    """Put an event on the time line and into the log."""
+    """Add an entry to the time line and to the log."""
 
     kind: NoteKind
     """What happened."""
 
     subject: str = ''
-    """Name of the instance, upstream, seat or result it is about."""
+    """Instance, upstream, seat or result concerned."""
 
     request: RequestId = 0
-    """Request it belongs to, if any."""
+    """Request concerned; zero for none."""
 
     generation: int = 0
-    """Generation it belongs to, if any."""
+    """Generation concerned; zero for none."""
 
 
 Effect = (
--- a/worksrail/core/events.py
+++ b/worksrail/core/events.py
@@ -1,8 +1,8 @@
-"""Everything that can happen to an instance, as data.
+"""Events: every input of an instance, as data.
 
-Each event carries ``now``: seconds on the instance's monotonic clock, never
-compared with those of another instance.  The daemon makes events from the
-outside; the scenario language and the tests make them by hand.
+Each event carries ``now``: seconds on the instance's monotonic clock, which
+are never compared between instances.  The daemon creates events from its
+inputs; scenarios and tests create them directly.
 """
 
 from dataclasses import dataclass
@@ -22,7 +22,7 @@
 
 @unique
 class AttemptOutcome(Enum):
-    """How sending a request to an upstream ended."""
+    """Outcome of one attempt to send a request to an upstream."""
 
     ANSWERED = 'the whole answer was passed on'
     NOT_SENT = 'no byte of the request left'
@@ -36,7 +36,7 @@
 
 @unique
 class WriteOutcome(Enum):
-    """How a conditional update of the store ended."""
+    """Outcome of a conditional update of the store."""
 
     DONE = 'done'
     CONFLICT = 'conflict'
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ticked:
-    """Time has passed."""
+    """The periodic timer fired."""
 
     now: float
     """Monotonic time in seconds."""
@@ -56,16 +56,16 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """Another instance sent a message."""
+    """A message arrived from another instance."""
 
     now: float
     """Monotonic time in seconds."""
 
     sender: Incarnation
-    """Who sent it."""
+    """Incarnation that sent it."""
 
     message: AnyMessage
-    """What it says."""
+    """The decoded message."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,38 +76,38 @@
     """Monotonic time in seconds."""
 
     instances: tuple[ListedInstance, ...]
-    """Live and leaving instances, as the platform believes."""
+    """Live and leaving instances, as reported by the platform."""
 
 
 @dataclass(frozen=True, slots=True)
 class SeatTableRead:
-    """The record of this region's seats was read from the store."""
+    """The seat table of this region was read from the store."""
 
     now: float
     """Monotonic time in seconds."""
 
     version: int
-    """Version of the object; zero when it does not exist."""
+    """Version of the object; zero if it does not exist."""
 
     table: SeatTable | None
-    """The table; None when it does not exist."""
+    """The table; None if it does not exist."""
 
 
 @dataclass(frozen=True, slots=True)
 class SeatTableWritten:
-    """A conditional update of the seat table ended."""
+    """A conditional update of the seat table completed."""
 
     now: float
     """Monotonic time in seconds."""
 
     outcome: WriteOutcome
-    """How it ended."""
+    """Outcome."""
 
     version: int = 0
-    """New version, when done."""
+    """New version, if the outcome is ``DONE``."""
 
     table: SeatTable | None = None
-    """The table that was written, when done."""
+    """The table that was written, if the outcome is ``DONE``."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -140,13 +140,13 @@
 
 @dataclass(frozen=True, slots=True)
 class BundleFetched:
-    """A bundle that was asked for has arrived and is verified."""
+    """A requested bundle was fetched and verified."""
 
     now: float
     """Monotonic time in seconds."""
 
     generation: int
-    """Generation it was fetched for."""
+    """Generation for which it was fetched."""
 
     digest: str
     """Its digest."""
@@ -157,18 +157,18 @@
 
 @dataclass(frozen=True, slots=True)
 class BundleFetchFailed:
-    """A bundle that was asked for could not be had."""
+    """A requested bundle could not be fetched."""
 
     now: float
     """Monotonic time in seconds."""
 
     generation: int
-    """Generation it was wanted for."""
+    """Generation for which it was requested."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A request came from a caller or from another instance."""
+    """A request arrived from a caller or from another instance."""
 
     now: float
     """Monotonic time in seconds."""
@@ -180,67 +180,67 @@
     """Number of the arrival, unique in this incarnation."""
 
     head: RequestHead
-    """What the decisions need to know of it."""
+    """Properties of the request on which decisions are based."""
 
     body_digest: bytes = b''
-    """Hash of its body, or of what is known of a long one."""
+    """Hash of its body; of first bytes and declared length if it is long."""
 
 
 @dataclass(frozen=True, slots=True)
 class CallerGone:
-    """The caller broke off before its answer was complete."""
+    """The caller disconnected before its answer was complete."""
 
     now: float
     """Monotonic time in seconds."""
 
     request: RequestId
-    """Which request."""
+    """Number of the request."""
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """Sending a request to an upstream ended."""
+    """An attempt to send a request to an upstream ended."""
 
     now: float
     """Monotonic time in seconds."""
 
     request: RequestId
-    """Which request."""
+    """Number of the request."""
 
     outcome: AttemptOutcome
-    """How it ended."""
+    """Outcome."""
 
     load: float | None = None
-    """Share of its slots the upstream reported in use, if it did."""
+    """Share of its slots that the upstream reports in use, if it does."""
 
     failed: bool = False
-    """The answer was a server error of the upstream."""
+    """Whether the answer was a server error of the upstream."""
 
     replayable: bool = True
-    """The body of the request is still held in full."""
+    """Whether the full body of the request is still buffered."""
 
     limit: NamedLimit | None = None
-    """What its answer says of a limit; None if no answer came."""
+    """Rate limit named in its answer; None without an answer."""
 
 
 @dataclass(frozen=True, slots=True)
 class PassEnded:
-    """Passing a request to another instance ended."""
+    """An attempt to pass a request to another instance ended."""
 
     now: float
     """Monotonic time in seconds."""
 
     request: RequestId
-    """Which request."""
+    """Number of the request."""
 
     code: ResultCode
-    """``OK`` when an answer was passed back whole."""
+    """``OK`` if a complete answer was passed back, else the failure."""
 
     retry_after: float = 0
-    """When the other instance said to come back."""
+    """Retry delay in seconds that the other instance returned."""
 
     replayable: bool = True
-    """The body of the request is still held in full."""
+    """Whether the full body of the request is still buffered."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/worksrail/core/explanations.py
+++ b/worksrail/core/explanations.py
@@ -1,4 +1,4 @@
-"""Why a caller gets the entries and upstreams that it gets."""
+"""Explanations of the entries and upstreams that a caller gets."""
 
 from dataclasses import dataclass
 
@@ -20,30 +20,30 @@
     """Availability zone it runs in."""
 
     available: int
-    """Permits that could be taken now."""
+    """Permits available now."""
 
     in_use: int
     """Permits in use by this entry."""
 
     share: int
-    """Permits of the seats held."""
+    """Permits that belong to the seats held."""
 
     score: float
     """Expected service time in seconds; lower is better."""
 
     reason: str
-    """What keeps it from being chosen, if anything."""
+    """Why it is not chosen; empty if it may be."""
 
 
 @dataclass(frozen=True, slots=True)
 class Explanation:
-    """What a caller would get now."""
+    """Entries and upstreams that a caller would get now."""
 
     look_up: LookUpAnswer
     """Entries for the caller."""
 
     asked: str
-    """Entry that explains; the upstreams are as it sees them."""
+    """Entry that answers; upstreams are shown from its view."""
 
     upstreams: tuple[UpstreamExplanation, ...]
     """Upstreams of the entry's region, best first."""
@@ -55,7 +55,7 @@
     service: str,
     now: float,
 ) -> Explanation | ResultCode:
-    """Explain what a caller at an address would get now."""
+    """Explain the entries and upstreams that a caller would get now."""
     answer = look_up(instance, client, service, now)
     topology = instance.configuration.topology
     if isinstance(answer, ResultCode):
@@ -63,15 +63,15 @@
     if topology is None:
         return ResultCode.NOT_READY
     view = topology.services[answer.service]
-    explained = [
-        _explained(instance, topology, answer.service, upstream, now)
+    ranked = [
+        _explain_upstream(instance, topology, answer.service, upstream, now)
         for upstream in view.regional.get(instance.place.region, ())
     ]
-    explained.sort(key=lambda one: (bool(one.reason), one.score))
-    return Explanation(answer, instance.who.name, tuple(explained))
+    ranked.sort(key=lambda one: (bool(one.reason), one.score))
+    return Explanation(answer, instance.who.name, tuple(ranked))
 
 
-def _explained(
+def _explain_upstream(
     instance: Instance,
     topology: Topology,
     service: str,
--- a/worksrail/core/identity.py
+++ b/worksrail/core/identity.py
@@ -1,4 +1,4 @@
-"""Who an instance is: name, incarnation, place and addresses."""
+"""Identity of an instance: name, incarnation, place and addresses."""
 
 from enum import Enum, unique
 from typing import Final
@@ -13,25 +13,25 @@
 
 
 @unique
-class Nobody(Enum):
-    """Sentinel: there is no such instance, and why."""
+class NoInstance(Enum):
+    """Sentinel: why no instance was found."""
 
-    NONE_LIVE = 'no live instance fits'
-    NOT_HELD = 'nobody holds it'
+    NONE_LIVE = 'no live instance matches'
+    NOT_HELD = 'no instance holds it'
 
 
 class Incarnation(msgspec.Struct, frozen=True, array_like=True):
-    """One life of an instance: it changes at each start and long pause.
+    """One run of an instance: it changes at each start and long pause.
 
     >>> Incarnation('ala-norte-1', 7).label
     'ala-norte-1@7'
     """
 
     name: InstanceName
-    """Name from the settings; stays over restarts."""
+    """Name from the settings; persists over restarts."""
 
     number: int
-    """Grows with every life of the name."""
+    """Increases with every incarnation of the name."""
 
     @property
     def label(self) -> str:
@@ -40,23 +40,23 @@
 
 
 class Endpoints(msgspec.Struct, frozen=True, array_like=True):
-    """Addresses of an instance, each an IP number and port."""
+    """Addresses of an instance, each an IP address and port."""
 
     caller: str
-    """Where callers look up and send requests."""
+    """Address for look-ups and requests of callers."""
 
     operator: str
-    """Where operators' calls arrive."""
+    """Address for calls of operators."""
 
     peer: str
-    """Where messages of other instances arrive."""
+    """Address for messages from other instances."""
 
     passing: str
-    """Where requests passed on by other instances arrive."""
+    """Address for requests passed on by other instances."""
 
 
 class Place(msgspec.Struct, frozen=True, array_like=True):
-    """Where an instance runs."""
+    """Location of an instance."""
 
     zone: ZoneName
     """Availability zone from the settings."""
--- a/worksrail/core/instance.py
+++ b/worksrail/core/instance.py
@@ -1,4 +1,4 @@
-"""The whole state of one instance, a slice for each part that owns it."""
+"""The state of one instance, split by the component that owns each part."""
 
 import random
 from dataclasses import dataclass, field
@@ -44,10 +44,10 @@
     """Whether the process exits at its end."""
 
     accepts_until: float
-    """Until when callers may still use a cached look-up answer."""
+    """When the last cached look-up answer with this instance expires."""
 
     done: bool = False
-    """Everything has been handed on."""
+    """All seats and permits have been transferred."""
 
 
 @dataclass(order=True, slots=True)
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True)
 class Instance:
-    """The state that :func:`worksrail.core.reducer.reduce` works on."""
+    """The state that :func:`worksrail.core.reducer.reduce` changes."""
 
     who: Incarnation
     """Name and incarnation of this instance."""
@@ -78,7 +78,7 @@
     """Times and limits."""
 
     rng: random.Random
-    """Source of spread; seeded, so that runs repeat exactly."""
+    """Random generator; seeded, so that runs are reproducible."""
 
     membership: Membership
     """The other instances."""
@@ -87,10 +87,10 @@
     """The configuration in force."""
 
     seats: SeatManager
-    """Seats held."""
+    """Seats held, their offers and the seat table."""
 
     ledger: PermitLedger
-    """Permits counted."""
+    """Accounting of permits."""
 
     lending: Lending
     """Borrowing and lending."""
@@ -102,15 +102,15 @@
     """Limits that all instances share."""
 
     pacer: Pacer
-    """Limits that upstreams name in their answers."""
+    """Rate limits that upstreams name in their answers."""
 
     started_at: float
-    """When this incarnation began."""
+    """When this incarnation started."""
 
     last_event_at: float
-    """When the last event came; a long gap means a pause."""
+    """When the last event arrived; a long gap means the process was paused."""
 
-    region_use: dict[str, int] = field(default_factory=dict)
+    peer_slot_usage: dict[str, int] = field(default_factory=dict)
     """Slots that the region's other instances use, by service."""
 
     services: dict[str, ServiceState] = field(default_factory=dict)
@@ -119,41 +119,41 @@
     health: dict[PoolKey, UpstreamHealth] = field(default_factory=dict)
     """Upstreams' health by slot pool."""
 
-    attention: set[PoolKey] = field(default_factory=set)
-    """Upstreams whose ceiling changes with time."""
+    monitored: set[PoolKey] = field(default_factory=set)
+    """Upstreams whose maximum of permits in use is updated on every tick."""
 
     quarantine: Quarantine = field(default_factory=Quarantine)
     """Requests that crash upstreams."""
 
     requests: dict[int, ActiveRequest] = field(default_factory=dict)
-    """Requests that are not ended."""
+    """Requests in progress, by number."""
 
     releases: list[TimedRelease] = field(default_factory=list)
     """Heap of permits held until a point in time."""
 
     wall: float = 0
-    """Highest wall-clock time seen; it never goes back."""
+    """Highest wall-clock time seen; never decreases."""
 
     store_contact_at: float = float('-inf')
     """When the store last answered."""
 
-    resting: bool = False
-    """Isolated: no permit is used."""
+    isolated: bool = False
+    """Neither peers nor the store are reachable, so no permit is used."""
 
     isolated_since: float = 0
-    """When anybody was last heard before the isolation."""
+    """Last contact with a peer or the store before the isolation."""
 
     leaving: LeaveState | None = None
     """A planned stop, or a drain of this entry."""
 
-    all_seats: int = 1
-    """Most seats of all regions by a generation that may be in force."""
+    max_total_seats: int = 1
+    """Maximum total of seats over the generations that may be in force."""
 
-    own_seats: int = 0
-    """Fewest seats of this region by a generation that may be in force."""
+    min_region_seats: int = 0
+    """Minimum of this region's seats over the generations in force."""
 
     settled: int = 0
-    """Newest generation whose shares the permits fit into."""
+    """Newest generation whose shares cover the permits in use."""
 
     next_heartbeat_at: float = 0
     """When the next round of heartbeats is due."""
@@ -172,7 +172,7 @@
         now: float,
         seed: int,
     ) -> 'Instance':
-        """A fresh instance that knows nobody and holds nothing."""
+        """Create an instance without peers, seats or configuration."""
         ledger = PermitLedger(settings.loan_duration, settings.longest_run)
         retention = settings.ticket_age + _CLOCK_SKEW
         configuration = Configuration()
@@ -195,7 +195,7 @@
         )
 
     def status(self, now: float) -> MemberStatus:
-        """How far this instance is in its life."""
+        """Lifecycle status of this instance."""
         if self.leaving:
             over = self.leaving.done and self.leaving.exits
             return MemberStatus.LEFT if over else MemberStatus.LEAVING
@@ -205,7 +205,7 @@
         return MemberStatus.JOINING
 
     def accepts(self, now: float) -> bool:
-        """Whether new requests are taken."""
+        """Whether new requests are accepted."""
         return self.leaving is None or now < self.leaving.accepts_until
 
     def is_drained_entry(self) -> bool:
@@ -214,13 +214,13 @@
         return own in self.configuration.drains
 
     def seat_view(self, now: float) -> SeatContext:
-        """What the seat decisions look at."""
+        """Input of the seat decisions."""
         return SeatContext(
             self.membership, self.settings, now, self.status(now)
         )
 
     def service_state(self, name: str) -> ServiceState:
-        """Running state of a service."""
+        """State of a service, created on first use."""
         state = self.services.get(name)
         if state is None:
             state = ServiceState.from_settings(self.settings)
@@ -228,18 +228,18 @@
         return state
 
     def retry_budget(self, service: str) -> RetryBudget:
-        """What may be retried of a service, on the seats held now."""
+        """Retry budget of a service, updated to the seats held now."""
         budget = self.service_state(service).budget
-        seats = {} if self.resting else self._seats_in_force()
-        budget.follow(seats, self.settings.saved_retries(self.all_seats))
+        seats = {} if self.isolated else self._seats_in_force()
+        budget.follow(seats, self.settings.saved_retries(self.max_total_seats))
         return budget
 
     def upstream_health(self, key: PoolKey) -> UpstreamHealth:
-        """Health of an upstream."""
+        """Health of an upstream, created on first use."""
         return self.health.setdefault(key, UpstreamHealth())
 
     def record(self, now: float) -> MemberRecord:
-        """What this instance says about itself."""
+        """Record of this instance, as advertised in heartbeats."""
         seats = tuple(
             HeldSeat(seat, epoch)
             for seat, epoch in sorted(self.seats.held.items())
@@ -260,7 +260,7 @@
         )
 
     def spares(self) -> tuple[Spare, ...]:
-        """What this instance could still serve, by service."""
+        """Spare capacity of this instance, by service."""
         topology = self.configuration.topology
         if topology is None or self.leaving:
             return ()
@@ -284,13 +284,13 @@
         count = sum(region.seats for region in topology.regions.values())
         wanted = self.seats.wanted_seats
         if self.ledger.oldest >= self.configuration.generation:
-            self.all_seats = count
-            self.own_seats = wanted
-        # Others may still work by an older split.
-        self.all_seats = max(self.all_seats, count)
-        self.own_seats = min(self.own_seats, wanted)
+            self.max_total_seats = count
+            self.min_region_seats = wanted
+        # Other instances may still use the shares of an older generation.
+        self.max_total_seats = max(self.max_total_seats, count)
+        self.min_region_seats = min(self.min_region_seats, wanted)
         return {
             seat: epoch
             for seat, epoch in self.seats.held.items()
-            if seat < self.own_seats
+            if seat < self.min_region_seats
         }
--- a/worksrail/core/lookups.py
+++ b/worksrail/core/lookups.py
@@ -1,4 +1,4 @@
-"""Look-ups: which entries a caller shall use, and why."""
+"""Look-ups: ranking the entries that a caller may use."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -20,7 +20,7 @@
     """Name of the instance."""
 
     address: str
-    """IP number and port for requests."""
+    """IP address and port for requests."""
 
     zone: str
     """Availability zone it runs in."""
@@ -29,7 +29,7 @@
     """Region it runs in."""
 
     spare: int
-    """Slots it could still serve, by its last word."""
+    """Slots it could still serve, as last reported."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,7 +37,7 @@
     """The answer to a look-up."""
 
     service: ServiceName
-    """Service that was asked for."""
+    """Service that was looked up."""
 
     home: RegionName
     """Home region of the caller."""
@@ -49,10 +49,10 @@
     """Seconds for which the answer may be cached."""
 
     generation: int
-    """Generation it was made from."""
+    """Configuration generation of the answer."""
 
     ticket: Ticket
-    """Right to run non-idempotent requests at the entry that owns it."""
+    """Ticket for non-idempotent requests, which only its owner runs."""
 
 
 def look_up(
@@ -63,9 +63,10 @@
 ) -> LookUpAnswer | ResultCode:
     """Rank the entries for a caller.
 
-    Entries of the home region come first, then those of its fallbacks that
-    a shift cap allows.  Within a region callers are spread by rendezvous
-    hashing of their address, and entries without spare slots come last.
+    Entries of the home region come first, then those of fallback regions to
+    which a shift cap allows requests.  Within a region, callers are spread by
+    rendezvous hashing of their addresses; entries without spare slots come
+    last.
     """
     topology = instance.configuration.topology
     if topology is None:
@@ -97,7 +98,7 @@
 
 def _candidates(instance: Instance, now: float) -> list[MemberRecord]:
     membership = instance.membership
-    return _with_own(
+    return _with_own_record(
         instance, membership.accepting_work(now, instance.settings), now
     )
 
@@ -108,23 +109,24 @@
     client: str,
     now: float,
 ) -> Incarnation | None:
-    """The entry that owns the keys of a caller.
-
-    A key that two owners know runs twice, so the choice must not rest on
-    what each entry sees a little differently, such as spare slots: that made
-    two of six pairs of look-ups name two owners.  It rests on who lives and
-    holds seats, which change seldom; an entry without a seat has no permits,
-    and would refuse what it owns.  Entries pass requests on to the owner.
+    """Choose the entry that owns the idempotency keys of a caller.
+
+    A key with two owners may run twice, so the choice must not depend on state
+    that differs slightly between entries, such as spare slots: with those, two
+    of six pairs of look-ups named two owners.  It depends on which entries are
+    live and hold seats, which rarely changes; an entry without a seat has no
+    permits and would refuse the requests it owns.  Entries pass requests on to
+    the owner.
     """
-    live = _with_own(
+    live = _with_own_record(
         instance, instance.membership.live(now, instance.settings), now
     )
     ready = [record for record in live if record.status is MemberStatus.READY]
-    seated = [record for record in ready if record.seats]
+    with_seats = [record for record in ready if record.seats]
     for region in regions:
         owners = {
             record.who.name: record.who
-            for record in seated or ready
+            for record in with_seats or ready
             if record.place.region == region
         }
         if owners:
@@ -132,12 +134,12 @@
     return None
 
 
-def _with_own(
+def _with_own_record(
     instance: Instance,
     others: Iterable[MemberRecord],
     now: float,
 ) -> list[MemberRecord]:
-    """Some others and this entry, if it is ready, that are not drained."""
+    """Add the record of this entry if it is ready; drop drained entries."""
     records = list(others)
     own = instance.record(now)
     if own.status is MemberStatus.READY:
--- a/worksrail/core/messages.py
+++ b/worksrail/core/messages.py
@@ -1,6 +1,6 @@
 """Messages between instances, encoded as tagged MessagePack arrays.
 
-Fields are positional on the wire: new ones go to the end with a default.
+Fields are positional on the wire: append new ones at the end with a default.
 Times are durations in seconds, never points in time, because clocks of
 different instances are not compared.
 """
@@ -23,7 +23,7 @@
 
 @unique
 class MemberStatus(IntEnum):
-    """How far an instance is in its life."""
+    """Lifecycle status of an instance."""
 
     JOINING = 0
     READY = 1
@@ -32,7 +32,7 @@
 
 
 class Spare(msgspec.Struct, frozen=True, array_like=True):
-    """How much of one service an instance could still serve."""
+    """Spare capacity of an instance for one service."""
 
     service: ServiceName
     """Name of the service."""
@@ -41,30 +41,30 @@
     """Slot permits free after headroom."""
 
     usable: int
-    """Slot permits usable at all."""
+    """Slot permits usable in total."""
 
     idle: int = 0
-    """Slot permits free, headroom included; what may be borrowed."""
+    """Slot permits free, headroom included; peers may borrow these."""
 
 
 class HeldSeat(msgspec.Struct, frozen=True, array_like=True):
-    """A seat and the epoch under which it is held."""
+    """A seat and the epoch at which it is held."""
 
     seat: int
     """Number of the seat in its region."""
 
     epoch: int
-    """Grows with every change of holder."""
+    """Increases with every change of holder."""
 
 
 class MemberRecord(msgspec.Struct, frozen=True, array_like=True):
-    """What an instance says about itself in heartbeats."""
+    """State that an instance advertises about itself in heartbeats."""
 
     who: Incarnation
     """Name and incarnation."""
 
     counter: int
-    """Grows with every heartbeat of this incarnation."""
+    """Increases with every heartbeat of this incarnation."""
 
     place: Place
     """Zone and region."""
@@ -73,28 +73,28 @@
     """Its addresses."""
 
     status: MemberStatus
-    """How far it is in its life."""
+    """Its lifecycle status."""
 
     generation: int = 0
-    """Configuration generation in force there."""
+    """Configuration generation in force at the instance."""
 
     digest: str = ''
-    """Digest of the bundle in force there."""
+    """Digest of the bundle in force at the instance."""
 
     settled: int = 0
-    """Newest generation whose shares its permits fit into."""
+    """Newest generation whose shares cover its permits in use."""
 
     drains: int = 0
-    """Revision of the drain list in force there."""
+    """Revision of the drain list in force at the instance."""
 
     seats: tuple[HeldSeat, ...] = ()
     """Seats it holds."""
 
     spares: tuple[Spare, ...] = ()
-    """What it could still serve."""
+    """Its spare capacity by service."""
 
     applied_after: float = 0
-    """Seconds from learning of the generation to its being in force."""
+    """Seconds from first seeing the generation to applying it."""
 
 
 class PeerMessage(msgspec.Struct, frozen=True, array_like=True, tag=True):
@@ -102,23 +102,23 @@
 
 
 class Heartbeat(PeerMessage, frozen=True, array_like=True, tag=True):
-    """Own record and a sample of what was heard of others."""
+    """The sender's record and a sample of the records it has received."""
 
     record: MemberRecord
-    """The sender's own record."""
+    """The sender's record."""
 
     others: tuple[MemberRecord, ...] = ()
-    """Records heard from or about other instances."""
+    """Records of other instances."""
 
     crashes: tuple[AdvertisedCrashes, ...] = ()
-    """Requests under which upstreams crashed."""
+    """Requests that crashed upstreams."""
 
     limits: tuple[AdvertisedLimit, ...] = ()
-    """Limits that upstreams named."""
+    """Rate limits that upstreams named."""
 
 
 class LoanPart(msgspec.Struct, frozen=True, array_like=True):
-    """Some permits of one pool."""
+    """A number of permits of one pool."""
 
     pool: str
     """Key of the pool."""
@@ -128,68 +128,71 @@
 
 
 class LoanRequest(PeerMessage, frozen=True, array_like=True, tag=True):
-    """Asks to borrow permits of a group, or to renew a loan."""
+    """Requests a loan of permits of a group, or its renewal."""
 
     loan: int
     """Number chosen by the borrower, unique in its incarnation."""
 
     group: str
-    """Group of pools, ``slots/pedidos``."""
+    """Key of the group of pools, such as ``slots/pedidos``."""
 
     count: int
-    """How many permits are wanted; zero renews."""
+    """How many permits are wanted; zero renews the loan."""
 
     sequence: int = 0
-    """Counts the renewals of the loan."""
+    """Number of the renewal."""
 
 
 class LoanGrant(PeerMessage, frozen=True, array_like=True, tag=True):
     """Grants or renews a loan; no parts means a refusal."""
 
     loan: int
-    """The borrower's number."""
+    """The borrower's number of the loan."""
 
     group: str
-    """The group asked for."""
+    """Key of the requested group."""
 
     parts: tuple[LoanPart, ...]
-    """What is lent; on renewal what the lender still counts as lent."""
+    """Permits lent; on renewal, those that the lender still counts as lent."""
 
     duration: float
-    """Seconds, counted by the borrower from when it asked."""
+    """Seconds of the loan, counted from when the borrower sent its request."""
 
     sequence: int = 0
-    """Repeats the sequence of the request."""
+    """Sequence of the request that is answered."""
 
 
 class LoanReturn(PeerMessage, frozen=True, array_like=True, tag=True):
-    """Says what of a loan the borrower still keeps; counts only fall."""
+    """Returns part of a loan: lists the permits that the borrower keeps.
+
+    Counts only decrease over the messages of a loan.
+    """
 
     loan: int
-    """The borrower's number."""
+    """The borrower's number of the loan."""
 
     kept_parts: tuple[LoanPart, ...]
-    """What is kept; a pool that is missing is returned whole."""
+    """Permits kept; all permits of a pool that is missing are returned."""
 
 
 class LoanRecall(PeerMessage, frozen=True, array_like=True, tag=True):
-    """Asks a borrower to return what it does not use."""
+    """Requests that a borrower return the permits it does not use."""
 
     loan: int
-    """The borrower's number."""
+    """The borrower's number of the loan."""
 
 
 class SeatOffer(PeerMessage, frozen=True, array_like=True, tag=True):
-    """Hands a seat on: the sender never uses it again."""
+    """Transfers a seat: the sender never uses it again."""
 
     seat: int
     """Number of the seat."""
 
     epoch: int
-    """Epoch under which the receiver shall hold it."""
+    """Epoch at which the receiver is to hold it."""
 
     receiver: Incarnation
-    """The only incarnation that may take it."""
+    """The only incarnation that may accept it."""
 
 
 class SeatTaken(PeerMessage, frozen=True, array_like=True, tag=True):
@@ -203,7 +206,7 @@
 
 
 class HeadNews(PeerMessage, frozen=True, array_like=True, tag=True):
-    """Tells of the newest configuration head known to the sender."""
+    """Advertises the newest configuration head that the sender knows."""
 
     generation: int
     """Generation of the head."""
@@ -213,7 +216,7 @@
 
 
 class DrainNews(PeerMessage, frozen=True, array_like=True, tag=True):
-    """Tells of the newest drain list known to the sender."""
+    """Advertises the newest drain list that the sender knows."""
 
     revision: int
     """Revision of the list."""
@@ -244,7 +247,7 @@
 
 
 class MalformedMessage(ValueError):
-    """A peer sent bytes that are no list of messages."""
+    """A peer sent bytes that do not decode to a list of messages."""
 
 
 def encode_messages(messages: list[AnyMessage]) -> bytes:
--- a/worksrail/core/reducer.py
+++ b/worksrail/core/reducer.py
@@ -1,8 +1,8 @@
-"""One reducer over all events: the state changes, effects come out.
+"""The reducer: applies an event to the state and returns the effects.
 
-The reducer does no I/O, reads no clock and draws no randomness but from its
-seeded state.  The daemon, the scenarios and the differential tests all run
-this function.
+The reducer does no I/O, reads no clock and uses no randomness except the
+seeded generator in its state.  The daemon, the scenarios and the differential
+tests all run this function.
 """
 
 from collections.abc import Callable, Iterator
@@ -56,10 +56,10 @@
 
 
 def reduce(instance: Instance, event: Event) -> list[Effect]:
-    """Change the state by one event and give the effects to run.
+    """Apply one event to the state and return the effects to run.
 
-    A gap before the event longer than the pause limit means that this
-    process was paused: it rejoins as a new incarnation before anything else.
+    A gap before the event that exceeds the pause limit means that the process
+    was suspended: it rejoins as a new incarnation before handling the event.
     """
     effects: list[Effect] = []
     gap = event.now - instance.last_event_at
--- a/worksrail/core/results.py
+++ b/worksrail/core/results.py
@@ -1,8 +1,8 @@
 """Numbered result codes: one table for callers, operators and docs.
 
 Every refusal or failure that worksrail reports carries one of these codes.
-The number never changes its meaning.  ``docs/RESULTS.md`` is written from
-this table and a test holds the two together.
+The meaning of a number never changes.  ``docs/RESULTS.md`` is generated from
+this table, and a test checks that the two match.
 """
 
 from dataclasses import dataclass
@@ -18,7 +18,7 @@
 
 @unique
 class Certainty(Enum):
-    """What is known about whether the request was executed upstream."""
+    """Whether the request was executed upstream, as far as is known."""
 
     NOT_RUN = 'not run'
     RUN = 'run'
@@ -37,7 +37,7 @@
     """Whether the request was executed."""
 
     http_status: int
-    """Status of the HTTP answer which carries the code."""
+    """Status of the HTTP answer that carries the code."""
 
     exit_code: int
     """Exit code of the command-line tool."""
@@ -46,7 +46,7 @@
     """What happened, in one sentence."""
 
     advice: str
-    """What the caller or the operator does next."""
+    """What the caller or the operator should do next."""
 
 
 def _not_run(
@@ -344,7 +344,7 @@
 
 
 def code_by_number(number: int) -> ResultCode:
-    """Find a code by its number; ``ValueError`` names an unknown one."""
+    """Find a code by its number; raises ``ValueError`` if it is unknown."""
     for code in ResultCode:
         if code.number == number:
             return code
--- a/worksrail/core/settings.py
+++ b/worksrail/core/settings.py
@@ -1,84 +1,84 @@
-"""Times and limits of the decisions; the daemon's settings fill them in."""
+"""Times and limits of the decisions, filled in from the daemon's settings."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class CoreSettings:
-    """Times in seconds; the defaults suit deployments of today's size."""
+    """Times in seconds; the defaults suit deployments of the current size."""
 
     heartbeat_interval: float = 0.4
-    """Between two rounds of heartbeats."""
+    """Time between two rounds of heartbeats."""
 
     heartbeat_fanout: int = 3
-    """Instances that a round goes to."""
+    """Instances that receive the heartbeat of one round."""
 
     heartbeat_sample: int = 6
-    """Records of others that a heartbeat carries."""
+    """Records of other instances in a heartbeat."""
 
     suspect_after: float = 2
-    """Silence after which an instance gets no new work."""
+    """Silence after which an instance is suspect and gets no new requests."""
 
     dead_after: float = 6
-    """Silence after which an instance counts as gone."""
+    """Silence after which an instance is considered dead."""
 
     join_grace: float = 1
-    """Time for a fresh instance to hear from others before it decides."""
+    """Time for a new instance to receive heartbeats before it is ready."""
 
     loan_duration: float = 2
-    """For how long permits are lent."""
+    """Duration of a loan of permits."""
 
     longest_run: float = 6
-    """Longest time a request may run; bounds the deadlines in a bundle."""
+    """Maximum run time of a request; bounds the deadlines in a bundle."""
 
     ask_timeout: float = 0.25
-    """After which an unanswered loan request is given up."""
+    """Timeout of a loan request."""
 
     loan_idle: float = 0.5
-    """Idle time after which a borrowed permit goes back."""
+    """Idle time after which a borrowed permit is returned."""
 
     reclaim_after: float = 12
     """Silence after which a seat may be claimed, in two steps of this."""
 
     isolation_after: float = 4
-    """Silence of everybody, store included, after which permits rest."""
+    """Silence of all peers and the store after which no permit is used."""
 
     pause_limit: float = 3
-    """Gap between events after which an instance was paused."""
+    """Gap between events above which the process counts as paused."""
 
     cancel_grace: float = 0.3
-    """For how long a slot counts as used after a request was cut off."""
+    """Time for which a slot stays in use after a request was cancelled."""
 
     queue_limit: int = 256
-    """Most requests of a service that wait at one entry."""
+    """Maximum length of a service's queue at one entry."""
 
     key_limit: int = 200_000
-    """Most idempotency keys that are remembered."""
+    """Maximum number of idempotency keys in memory."""
 
     ticket_age: float = 30
-    """For how long a ticket may be used."""
+    """Lifetime of a ticket."""
 
     retry_ratio: float = 0.1
-    """Retries earned by each success."""
+    """Retries added to the budget by each success."""
 
     retry_burst: float = 30
-    """Most retries that all instances save up, or one a seat if more."""
+    """Maximum retries saved over all instances, but at least one per seat."""
 
     attempt_limit: int = 3
-    """Most attempts for one request."""
+    """Maximum attempts per request."""
 
     ejection_share: float = 0.34
-    """Largest share of a service's upstreams that may be ejected."""
+    """Maximum share of a service's upstreams that may be ejected."""
 
     ejection_time: float = 5
-    """For how long an upstream is ejected at first."""
+    """Duration of the first ejection of an upstream."""
 
     offer_interval: float = 0.3
-    """Between two sendings of an unconfirmed seat offer."""
+    """Time between two sends of an unconfirmed seat offer."""
 
     fingerprint_key: bytes = b''
-    """Key of the fingerprints of requests, the same at all instances."""
+    """Key of the fingerprints of requests; the same on all instances."""
 
     def saved_retries(self, seats: int) -> float:
-        """Most retries that are saved up on each of so many seats."""
+        """Maximum retries saved per seat, given the total of seats."""
         return max(1, self.retry_burst / seats)
