--- a/worksrail/core/_dispatching.py
+++ b/worksrail/core/_dispatching.py
@@ -78,17 +78,17 @@
     queue = instance.service_state(service).queue
     group = instance.ledger.groups.get(slot_group(service))
     while group and group.available.keys:
-        waiting = queue.pop()
-        if waiting is None:
+        queued = queue.pop()
+        if queued is None:
             break
-        active = instance.requests[waiting.request]
+        active = instance.requests[queued.request]
         placement = _acquire_unless_blocked(instance, active, now)
         if isinstance(placement, Placement):
             yield from _send(instance, active, placement, now)
         elif placement in _BLOCKED_CODES:
             yield from _refuse(instance, active, placement, now)
         else:
-            queue.put_first(waiting)
+            queue.put_first(queued)
             break
     instance.lending.set_shortage(slot_group(service), len(queue))
 
@@ -173,9 +173,9 @@
         return
     if not instance.retry_budget(service).has_retry:
         return
-    waiting = state.retries.pop()
-    if waiting:
-        active = instance.requests[waiting.request]
+    queued = state.retries.pop()
+    if queued:
+        active = instance.requests[queued.request]
         active.state = RequestState.NEW
         yield from place(instance, active, now)
 
@@ -250,8 +250,8 @@
 ) -> Iterator[Effect]:
     state = instance.service_state(active.service)
     active.state = RequestState.WAITING
-    give_up_at = now + min(upper_bound, _max_wait(instance, active, now))
-    state.queue.put(QueuedRequest(active.number, give_up_at))
+    expires_at = now + min(upper_bound, _max_wait(instance, active, now))
+    state.queue.put(QueuedRequest(active.number, expires_at))
     group = slot_group(active.service)
     instance.lending.set_shortage(group, len(state.queue))
     yield from borrow(instance, group, now)
@@ -265,13 +265,13 @@
 ) -> Iterator[Effect]:
     """Queue a request if a retry is expected in time; else refuse it."""
     max_wait = _max_wait(instance, active, now)
-    held = code is ResultCode.REQUEST_HELD
-    if held or not is_earned_within(instance, active, max_wait, now):
+    quarantined = code is ResultCode.REQUEST_HELD
+    if quarantined or not is_earned_within(instance, active, max_wait, now):
         yield from _refuse(instance, active, code, now)
         return
     active.state = RequestState.WAITING_FOR_BUDGET
-    waiting = QueuedRequest(active.number, now + max_wait)
-    instance.service_state(active.service).retries.put(waiting)
+    queued = QueuedRequest(active.number, now + max_wait)
+    instance.service_state(active.service).retries.put(queued)
 
 
 def _remote_target(
--- a/worksrail/core/_members.py
+++ b/worksrail/core/_members.py
@@ -20,7 +20,7 @@
     Names also stand in for addresses: effects address instances by name.
     """
     live = instance.membership.live(now, instance.settings)
-    ready = [one for one in live if one.status is MemberStatus.READY]
+    ready = [peer for peer in live if peer.status is MemberStatus.READY]
     present = [
         member.record
         for member in instance.membership.members.values()
--- a/worksrail/core/_on_requests.py
+++ b/worksrail/core/_on_requests.py
@@ -21,7 +21,7 @@
 from worksrail.core.requests.active import ActiveRequest, RequestState
 from worksrail.core.results import Certainty, ResultCode
 
-_DISTRUST_TIME: Final = 1.0
+_AVOID_DURATION: Final = 1.0
 
 # The upstream may still be running the request, so its slot is kept in use
 # for a while.
@@ -115,7 +115,7 @@
         close(instance, active, executed=True)
         return
     if event.code is ResultCode.PEER_UNREACHABLE:
-        instance.membership.avoid(active.passed_to, event.now, _DISTRUST_TIME)
+        instance.membership.avoid(active.passed_to, event.now, _AVOID_DURATION)
     if event.code is ResultCode.REQUEST_HELD:
         yield from finish(
             instance, active, event.code, event.now, event.retry_after
@@ -187,10 +187,10 @@
     active: ActiveRequest,
     event: AttemptEnded,
 ) -> Iterator[Effect]:
-    certain = event.outcome in _NOT_RUN
+    not_executed = event.outcome in _NOT_RUN
     broke = event.outcome is AttemptOutcome.BROKE_BEFORE_ANSWER
-    may_repeat = certain or (broke and active.idempotent)
-    if not certain:
+    may_repeat = not_executed or (broke and active.idempotent)
+    if not not_executed:
         active.maybe_executed = True
     code = _FINAL_CODES[event.outcome]
     if code in MAYBE_SENT:
--- a/worksrail/core/_on_time.py
+++ b/worksrail/core/_on_time.py
@@ -206,16 +206,16 @@
 
 def _send_seat_offers(instance: Instance, now: float) -> Iterator[Effect]:
     view = instance.seat_view(now)
-    keeper = instance.seats
-    keeper.drop_stale_offers(view)
+    manager = instance.seats
+    manager.drop_stale_offers(view)
     if instance.status(now) is MemberStatus.READY:
-        surplus = keeper.surplus_receiver(view)
+        surplus = manager.surplus_receiver(view)
         if surplus:
-            keeper.offer(*surplus)
+            manager.offer(*surplus)
             yield from sync_ledger(instance)
-    for open_offer in keeper.offers.values():
+    for open_offer in manager.offers.values():
         due = now - open_offer.sent_at >= instance.settings.offer_interval
-        if due and instance.ledger.fits(keeper.held):
+        if due and instance.ledger.fits(manager.held):
             open_offer.sent_at = now
             offer = open_offer.offer
             yield SendMessage(offer.receiver.name, offer)
--- a/worksrail/core/explanations.py
+++ b/worksrail/core/explanations.py
@@ -67,7 +67,9 @@
         _explain_upstream(instance, topology, answer.service, upstream, now)
         for upstream in view.regional.get(instance.place.region, ())
     ]
-    ranked.sort(key=lambda one: (bool(one.reason), one.score))
+    ranked.sort(
+        key=lambda explanation: (bool(explanation.reason), explanation.score)
+    )
     return Explanation(answer, instance.who.name, tuple(ranked))
 
 
