--- a/examples/embedding/members.py
+++ b/examples/embedding/members.py
@@ -1,4 +1,4 @@
-"""An instance hears of another one, and notices its silence."""
+"""An instance receives heartbeats of a peer and detects when they stop."""
 
 from worksrail import CoreSettings, Endpoints, Incarnation, Membership, Place
 from worksrail.core.messages import Heartbeat, MemberRecord, MemberStatus
@@ -18,13 +18,13 @@
 def main() -> None:
     settings = CoreSettings()
     members = Membership(Incarnation('ann', 1), 'north')
-    members.hear(Heartbeat(record(counter=1)), now=0)
+    members.merge_heartbeat(Heartbeat(record(counter=1)), now=0)
     print('at 1 s:', members.liveness('bob', 1, settings).value)
     print('at 4 s:', members.liveness('bob', 4, settings).value)
     print('at 9 s:', members.liveness('bob', 9, settings).value)
-    members.hear(Heartbeat(record(counter=1, life=2)), now=9)
+    members.merge_heartbeat(Heartbeat(record(counter=1, life=2)), now=9)
     print('reborn:', members.liveness('bob', 9, settings).value)
-    late = members.hear(Heartbeat(record(counter=7)), now=10)
+    late = members.merge_heartbeat(Heartbeat(record(counter=7)), now=10)
     print('news in a late heartbeat of the old life:', len(late))
 
 
--- a/examples/embedding/tickets.py
+++ b/examples/embedding/tickets.py
@@ -1,4 +1,4 @@
-"""A request that must run once, whoever receives it."""
+"""A request that must run once, whichever instance receives it."""
 
 from worksrail import Incarnation, KeyMemory, Ticket, TicketSigner
 
@@ -18,7 +18,7 @@
     memory = KeyMemory(limit=1000, retention=40)
     print('at bob:', receive(bob, KeyMemory(1000, 40), ticket, 'order-7'))
     print('at ann:', receive(ann, memory, ticket, 'order-7'))
-    memory.settle('order-7', executed=True)
+    memory.finish('order-7', executed=True)
     print('again:', receive(ann, memory, ticket, 'order-7'))
     print('after a restart:', receive(Incarnation('ann', 2), memory, ticket, 'x'))
 
