--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -14,7 +14,7 @@
 from worksrail.daemon.steered import StoreFault
 from worksrail.platform import PlatformStore
 from worksrail.platform._fields import Fields
-from worksrail.platform._store import _Builder, _document
+from worksrail.platform._store import _parse_json, _UpdateBuilder
 from worksrail.standins.objects import ObjectStore, StoreMood, application
 
 
@@ -77,11 +77,11 @@
 
 def test_list_is_as_old_as_its_oldest_page() -> None:
     # Pages of a stale list may come from replicas of different age.
-    builder = _Builder(StoreKind.EVACUATIONS)
+    builder = _UpdateBuilder(StoreKind.EVACUATIONS)
     for revision in (9, 4, 7):
         page = {'items': [], 'HasMore': False, 'AsOf': revision}
         builder.add_page(Fields.from_value(page, 'page'))
-    assert builder.news().revision == 4
+    assert builder.build().revision == 4
 
 
 def test_watch_tells_changes_and_goes_on() -> None:
@@ -279,10 +279,10 @@
     ],
 )
 def test_unreadable_bytes_are_no_fault_of_the_store(body: bytes) -> None:
-    page = Fields.from_value(_document(body), 'page')
-    builder = _Builder(StoreKind.UPSTREAMS)
+    page = Fields.from_value(_parse_json(body), 'page')
+    builder = _UpdateBuilder(StoreKind.UPSTREAMS)
     assert not builder.add_page(page)
-    assert builder.news().revision == 3
+    assert builder.build().revision == 3
 
 
 def test_configuration_is_read() -> None:
--- a/worksrail/daemon/steered/__init__.py
+++ b/worksrail/daemon/steered/__init__.py
@@ -3,7 +3,7 @@
 from worksrail.daemon.steered._adapter import (
     ANSWER_TIME,
     Adapter,
-    AskedEntries,
+    LookUpQuery,
     SteeringStore,
     StoreFault,
     UpstreamAnswer,
@@ -14,7 +14,7 @@
 __all__ = (
     'ANSWER_TIME',
     'Adapter',
-    'AskedEntries',
+    'LookUpQuery',
     'SteeringStore',
     'StoreFault',
     'UpstreamAnswer',
--- a/worksrail/daemon/steered/_adapter.py
+++ b/worksrail/daemon/steered/_adapter.py
@@ -109,7 +109,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskedEntries:
+class LookUpQuery:
     """A look-up: which entries shall callers of this place use."""
 
     region: RegionName
@@ -130,10 +130,10 @@
     ) -> SteeredHead | None:
         """What decisions need to know; None if a header is malformed."""
 
-    def is_readiness(self, target: str) -> bool:
+    def is_readiness_check(self, target: str) -> bool:
         """Whether this asks if the entry is ready."""
 
-    def read_look_up(self, target: str) -> AskedEntries | None:
+    def read_look_up(self, target: str) -> LookUpQuery | None:
         """The look-up that a target asks, if it is one."""
 
     def render_entries(self, entries: EntryList) -> bytes:
--- a/worksrail/daemon/steered/_ports.py
+++ b/worksrail/daemon/steered/_ports.py
@@ -28,7 +28,7 @@
     def arrived(self, exchange: Exchange) -> None:
         """Answer."""
         state = self.engine.state
-        asked = self.dialect.is_readiness(exchange.start.path)
+        asked = self.dialect.is_readiness_check(exchange.start.path)
         if asked and state.leaving:
             exchange.answer_result(ResultCode.ENTRY_LEAVING)
         elif asked and state.ready:
--- a/worksrail/platform/__init__.py
+++ b/worksrail/platform/__init__.py
@@ -1,7 +1,7 @@
-"""Runs worksrail on the users' platform.
+"""Adapter between worksrail and the users' platform.
 
-All that knows the platform's names, formats and calls stands here; nothing
-here decides.  ``python -m worksrail.platform`` serves one entry.
+Only this package knows the platform's names, formats and calls, and it makes
+no decisions.  ``python -m worksrail.platform`` runs one entry.
 """
 
 from typing import TYPE_CHECKING, Final
--- a/worksrail/platform/_dialect.py
+++ b/worksrail/platform/_dialect.py
@@ -1,4 +1,4 @@
-"""Headers and targets of the platform, read and written."""
+"""Parsing and rendering of the platform's headers and request targets."""
 
 import json
 from http.cookies import CookieError, SimpleCookie
@@ -12,24 +12,24 @@
 from worksrail.core.results import ResultCode
 from worksrail.core.steering import EntryList
 from worksrail.core.steering.events import ReportedLoad, SteeredHead
-from worksrail.daemon.steered import AskedEntries, UpstreamAnswer
+from worksrail.daemon.steered import LookUpQuery, UpstreamAnswer
 from worksrail.platform import _names as names
 
 _MILLISECONDS: Final = 1000
-_IDENTITY: Final = frozenset(('', 'identity'))
+_IDENTITY_ENCODINGS: Final = frozenset(('', 'identity'))
 
 
 class PlatformCallers:
-    """Requests of the platform's clients, and answers to them."""
+    """Dialect for requests of the platform's callers and answers to them."""
 
     __slots__ = ()
 
     def trace_of(self, headers: HTTPHeaders) -> str:
-        """The caller's identifier of one attempt."""
+        """Return the caller's identifier of one attempt."""
         return headers.get(names.REQUEST_ID, '')
 
     def mark_answer(self, headers: HTTPHeaders, trace: str) -> None:
-        """An upstream's answer has all that callers expect."""
+        """Do nothing: upstreams set all headers that callers expect."""
 
     def result_headers(
         self,
@@ -38,12 +38,12 @@
         retry_after: float,
         entry: str,
     ) -> HTTPHeaders:
-        """Headers of an answer that carries a result code."""
+        """Return the headers of an answer that carries a result code."""
         headers = HTTPHeaders(
             {'Content-Type': 'application/json', names.REQUEST_ID: trace}
         )
         if retry_after:
-            # Fractions are understood.
+            # Callers accept fractions of a second.
             headers[names.RETRY_AFTER] = f'{retry_after:.3f}'
         return headers
 
@@ -53,7 +53,7 @@
         target: str,
         headers: HTTPHeaders,
     ) -> SteeredHead | None:
-        """What decisions need to know; None if a header is malformed."""
+        """Parse the head of a request; return None if a header is malformed."""
         time_left = None
         text = headers.get(names.DEADLINE)
         if text is not None:
@@ -66,26 +66,26 @@
             method,
             target,
             time_left,
-            _affinity(headers),
+            _parse_affinity_key(headers),
             _key_digest(headers),
         )
 
-    def is_readiness(self, target: str) -> bool:
-        """Whether this asks if the entry is ready."""
+    def is_readiness_check(self, target: str) -> bool:
+        """Return whether the target is that of readiness checks."""
         return urlsplit(target).path == names.READINESS
 
-    def read_look_up(self, target: str) -> AskedEntries | None:
-        """The look-up that a target asks, if it is one."""
+    def read_look_up(self, target: str) -> LookUpQuery | None:
+        """Parse a look-up query; return None for any other target."""
         url = urlsplit(target)
         if url.path != names.RESOLVE:
             return None
         query = parse_qs(url.query)
-        return AskedEntries(
+        return LookUpQuery(
             query.get('Region', [''])[0], query.get('Zone', [''])[0]
         )
 
     def render_entries(self, entries: EntryList) -> bytes:
-        """The document that answers a look-up."""
+        """Render the document that answers a look-up."""
         document = {
             'Addresses': list(entries.addresses),
             'TtlS': entries.max_age,
@@ -94,7 +94,7 @@
 
 
 class PlatformUpstreams:
-    """Requests to the platform's back ends, and their answers."""
+    """Dialect for requests to the platform's upstreams and their answers."""
 
     __slots__ = ()
 
@@ -105,7 +105,7 @@
         time_left: float,
         customer: CustomerName,
     ) -> None:
-        """Name the upstream, the milliseconds it has, and the customer."""
+        """Set the headers for the upstream, the deadline and the customer."""
         milliseconds = max(1, int(time_left * _MILLISECONDS))
         headers[names.DEADLINE] = str(milliseconds)
         headers[names.TARGET] = upstream
@@ -115,19 +115,19 @@
             headers[names.CUSTOMER] = customer
 
     def read_answer(self, status: int, headers: HTTPHeaders) -> UpstreamAnswer:
-        """Read the head of an answer."""
+        """Parse the head of an answer."""
         encoding = headers.get(names.CONTENT_ENCODING, '').strip().lower()
         return UpstreamAnswer(
             headers.get(names.REQUEST_ID, ''),
             names.NOT_EXECUTED not in headers,
             status == names.MISDIRECTED,
-            encoding not in _IDENTITY,
-            _load(headers.get(names.LOAD, '')),
+            encoding not in _IDENTITY_ENCODINGS,
+            _parse_load(headers.get(names.LOAD, '')),
             read_rate(headers.get_list(names.RATE_LIMIT)),
         )
 
 
-def _affinity(headers: HTTPHeaders) -> str:
+def _parse_affinity_key(headers: HTTPHeaders) -> str:
     text = headers.get('Cookie')
     if not text:
         return ''
@@ -140,11 +140,11 @@
 
 def _key_digest(headers: HTTPHeaders) -> KeyDigest:
     key = headers.get(names.API_KEY)
-    # Headers are decoded byte by byte.
+    # Tornado decodes headers as Latin-1, so this restores the bytes.
     return digest_of_key(key.encode('latin-1')) if key else ''
 
 
-def _load(text: str) -> ReportedLoad | None:
+def _parse_load(text: str) -> ReportedLoad | None:
     counts = [part.strip() for part in text.split(',')]
     if len(counts) != 3 or not all(part.isdigit() for part in counts):
         return None
--- a/worksrail/platform/_entry.py
+++ b/worksrail/platform/_entry.py
@@ -1,4 +1,4 @@
-"""One entry on the users' platform, from its settings file to its end."""
+"""Entry point that runs one entry on the users' platform."""
 
 import gc
 
@@ -12,18 +12,21 @@
 
 
 def run() -> None:
-    """Serve until stopped."""
-    # What has been loaded stays, so it need not be looked through again.
+    """Serve requests until the process is stopped."""
+    # Loaded modules stay in memory, so the collector need not scan them.
     gc.freeze()
     gc.enable()
     serve(
         Adapter(
-            _settings, PlatformCallers(), PlatformUpstreams(), PlatformStore
+            _read_settings,
+            PlatformCallers(),
+            PlatformUpstreams(),
+            PlatformStore,
         )
     )
 
 
-def _settings() -> EntrySettings:
+def _read_settings() -> EntrySettings:
     try:
         return read_settings(settings_path())
     except MalformedDocumentError as error:
--- a/worksrail/platform/_fields.py
+++ b/worksrail/platform/_fields.py
@@ -1,4 +1,4 @@
-"""Typed reading of the platform's documents."""
+"""Typed access to the fields of the platform's documents."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -6,112 +6,114 @@
 
 
 class MalformedDocumentError(ValueError):
-    """A document of the platform does not hold what it should."""
+    """A document of the platform lacks a field or has one of a wrong type."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fields:
-    """One table of a document; each access says what it expects.
+    """One JSON object of a document, with type checks on each access.
 
-    >>> Fields({'Slots': 3}, 'entry').whole('Slots')
+    >>> Fields({'Slots': 3}, 'entry').integer('Slots')
     3
     """
 
     table: dict[str, Any]
-    """The table."""
+    """The decoded JSON object."""
 
-    where: str
-    """Where it stands, for messages."""
+    location: str
+    """Path of the object within the document, for error messages."""
 
     @classmethod
-    def from_value(cls, table: Any, where: str) -> 'Fields':
-        """Check that a value is a table."""
+    def from_value(cls, table: Any, location: str) -> 'Fields':
+        """Check that a value is a JSON object and wrap it."""
         if not isinstance(table, dict):
-            raise MalformedDocumentError(f'expected a table at {where}')
-        return cls(table, where)
-
-    def text(self, name: str) -> str:
-        """A text that must be there and not be empty."""
-        found = self.table.get(name)
-        if not isinstance(found, str) or not found:
-            raise self.fault(name, 'a text')
-        return found
-
-    def whole(self, name: str, default: int | None = None) -> int:
-        """A whole number."""
-        found = self.table.get(name, default)
-        if not isinstance(found, int) or isinstance(found, bool):
-            raise self.fault(name, 'a whole number')
-        return found
-
-    def whole_from(
+            raise MalformedDocumentError(f'expected an object at {location}')
+        return cls(table, location)
+
+    def string(self, name: str) -> str:
+        """Return a required, non-empty string."""
+        raw = self.table.get(name)
+        if not isinstance(raw, str) or not raw:
+            raise self.error(name, 'a string')
+        return raw
+
+    def integer(self, name: str, default: int | None = None) -> int:
+        """Return an integer."""
+        raw = self.table.get(name, default)
+        if not isinstance(raw, int) or isinstance(raw, bool):
+            raise self.error(name, 'an integer')
+        return raw
+
+    def integer_from(
         self,
         name: str,
-        least: int,
+        minimum: int,
         default: int | None = None,
     ) -> int:
-        """A whole number, no lower than the least."""
-        found = self.whole(name, default)
-        if found < least:
-            raise self.fault(name, f'a whole number from {least} on')
-        return found
+        """Return an integer that is at least the minimum."""
+        raw = self.integer(name, default)
+        if raw < minimum:
+            raise self.error(name, f'an integer of at least {minimum}')
+        return raw
 
     def number(self, name: str, default: float | None = None) -> float:
-        """A number."""
-        found = self.table.get(name, default)
-        if not isinstance(found, int | float) or isinstance(found, bool):
-            raise self.fault(name, 'a number')
-        return float(found)
+        """Return a number."""
+        raw = self.table.get(name, default)
+        if not isinstance(raw, int | float) or isinstance(raw, bool):
+            raise self.error(name, 'a number')
+        return float(raw)
 
-    def number_between(
+    def number_in_range(
         self,
         name: str,
-        least: float,
-        below: float,
+        minimum: float,
+        limit: float,
         default: float | None = None,
     ) -> float:
-        """A number in a range; not a number is in none."""
-        found = self.number(name, default)
-        if not least <= found < below:
-            raise self.fault(name, f'a number from {least} to {below}')
-        return found
+        """Return a number with ``minimum <= number < limit``, not NaN."""
+        raw = self.number(name, default)
+        if not minimum <= raw < limit:
+            raise self.error(name, f'a number from {minimum} to {limit}')
+        return raw
 
     def flag(self, name: str) -> bool:
-        """True or false; false when it is missing."""
+        """Return whether a field is true; a missing one is false."""
         return self.table.get(name) is True
 
-    def texts(self, name: str) -> tuple[str, ...]:
-        """A list of texts; empty when it is missing."""
-        found = self.table.get(name) or []
-        if not isinstance(found, list):
-            raise self.fault(name, 'a list')
-        if not all(isinstance(entry, str) for entry in found):
-            raise self.fault(name, 'a list of texts')
-        return tuple(found)
-
-    def part(self, name: str) -> 'Fields':
-        """A table within this one."""
-        return Fields.from_value(self.table.get(name), f'{self.where}.{name}')
+    def strings(self, name: str) -> tuple[str, ...]:
+        """Return a list of strings; empty if the field is missing."""
+        raw = self.table.get(name) or []
+        if not isinstance(raw, list):
+            raise self.error(name, 'a list')
+        if not all(isinstance(entry, str) for entry in raw):
+            raise self.error(name, 'a list of strings')
+        return tuple(raw)
+
+    def nested(self, name: str) -> 'Fields':
+        """Return a nested object."""
+        return Fields.from_value(
+            self.table.get(name), f'{self.location}.{name}'
+        )
 
     def rows(self, name: str) -> 'Iterator[Fields]':
-        """Tables that are encoded as column names and rows of values."""
-        encoded = self.part(name)
-        columns = encoded.texts('Columns')
+        """Yield the objects of a table of column names and rows of values."""
+        encoded = self.nested(name)
+        columns = encoded.strings('Columns')
         rows = encoded.table.get('Rows')
         if not isinstance(rows, list):
-            raise self.fault(name, 'rows')
+            raise self.error(name, 'rows')
         for number, row in enumerate(rows):
-            where = f'{self.where}.{name}[{number}]'
+            location = f'{self.location}.{name}[{number}]'
             if not isinstance(row, list) or len(row) != len(columns):
                 raise MalformedDocumentError(
-                    f'expected {len(columns)} values at {where}'
+                    f'expected {len(columns)} values at {location}'
                 )
             pairs = zip(columns, row, strict=True)
-            present = {key: found for key, found in pairs if found is not None}
-            yield Fields(present, where)
+            present = {key: cell for key, cell in pairs if cell is not None}
+            yield Fields(present, location)
 
-    def fault(self, name: str, expected: str) -> MalformedDocumentError:
-        """What to raise if a field is not what it should be."""
+    def error(self, name: str, expected: str) -> MalformedDocumentError:
+        """Return the exception for a field that is missing or malformed."""
         return MalformedDocumentError(
-            f'expected {expected} as {name} at {self.where}'
+            f'expected {expected} as {name} at {self.location}'
         )
--- a/worksrail/platform/_names.py
+++ b/worksrail/platform/_names.py
@@ -1,7 +1,6 @@
-"""Names on the platform's wire: headers, paths, kinds and fields.
+"""Names of the platform's protocol: headers, paths, kinds and fields.
 
-Only this package knows them.  Where a name misleads, the comment says what
-it holds.
+Only this package uses them.  Comments explain names that are misleading.
 """
 
 from typing import Final
@@ -10,30 +9,30 @@
 
 # The caller's identifier of one attempt; echoed by upstreams.
 REQUEST_ID: Final = 'Request-Id'
-# Milliseconds for which the sender of the request waits.
+# Milliseconds that the sender of the request waits for the answer.
 DEADLINE: Final = 'Deadline-Ms'
 # A cookie, not a header: the affinity key.
 AFFINITY_COOKIE: Final = 'Affinity-Key'
-# Proof that an upstream made the answer; never set here.
+# Signature of the upstream that made the answer; entries never set it.
 SIGNATURE: Final = 'Response-Signature'
-# Identifier that an upstream must have to execute the request.
+# Identifier of the only upstream that may execute the request.
 TARGET: Final = 'Target-Instance'
 # Present if the upstream did not execute the request.
 NOT_EXECUTED: Final = 'Not-Executed'
-# Executing and waiting requests and slots, separated by commas.
+# Executing requests, waiting requests and slots, separated by commas.
 LOAD: Final = 'Server-Load'
-# Requests a second that the upstream takes from all entries together.
+# Requests per second that the upstream accepts from all entries together.
 RATE_LIMIT: Final = 'Server-Limit'
-# A caller's API key, and nothing else.
+# A caller's API key and nothing else.
 API_KEY: Final = 'Credential'
-# Name of the customer that holds the key; for upstreams, set by entries only.
+# Name of the customer that owns the key; only entries set it, for upstreams.
 CUSTOMER: Final = 'Tenant'
 RETRY_AFTER: Final = 'Retry-After'
 CONTENT_ENCODING: Final = 'Content-Encoding'
 
 # -- statuses
 
-# Another upstream has the address; the request was not executed.
+# Another upstream has this address now; the request was not executed.
 MISDIRECTED: Final = 421
 
 # -- paths
--- a/worksrail/platform/_objects.py
+++ b/worksrail/platform/_objects.py
@@ -1,4 +1,4 @@
-"""Objects of the platform's store, decoded into the product's types."""
+"""Decoding of the objects in the platform's store."""
 
 from math import inf
 from typing import Any, Final
@@ -27,30 +27,30 @@
     'unsafe': RouteKind.AT_MOST_ONCE,
     'download': RouteKind.DOWNLOAD,
 }
-# Whether an upstream in a state takes no new requests.
-_DRAINS: Final = {'ready': False, 'draining': True}
-_HIGHEST_PORT: Final = 65_535
+# Whether an upstream in each state is draining.
+_DRAINING_BY_STATE: Final = {'ready': False, 'draining': True}
+_MAX_PORT: Final = 65_535
 _DEFAULT_TIMEOUT: Final = 60.0
-_DEFAULT_ATTEMPTS: Final = 2
+_DEFAULT_MAX_ATTEMPTS: Final = 2
 
 
 def decode_configuration(spec: Any) -> RoutingConfiguration:
-    """Decode ``config/main``; raises ``MalformedDocumentError``."""
+    """Decode ``config/main``; raise ``MalformedDocumentError`` if malformed."""
     fields = Fields.from_value(spec, 'config/main')
-    services = [_service(row) for row in fields.rows('Services')]
+    services = [_decode_service(row) for row in fields.rows('Services')]
     names = {service.name for service in services}
-    routes = [_route(row, names) for row in fields.rows('Routes')]
+    routes = [_decode_route(row, names) for row in fields.rows('Routes')]
     return RoutingConfiguration.from_routes(
-        decode_version(fields.text('Version')),
+        decode_version(fields.string('Version')),
         routes,
         services,
-        _limits(fields.part('Limits')),
-        _customers(fields),
+        _decode_limits(fields.nested('Limits')),
+        _decode_customers(fields),
     )
 
 
 def decode_version(text: str) -> int:
-    """Number of a version, which is written as ``r`` and digits.
+    """Return the number of a version, written as ``r`` and digits.
 
     >>> decode_version('r12')
     12
@@ -61,133 +61,139 @@
 
 
 def decode_upstream(name: str, spec: Any, status: Any) -> UpstreamRecord:
-    """Decode one entry of the upstreams; its name is the upstream's id.
+    """Decode the discovery entry of an upstream, named by the upstream's id.
 
-    Others may have written it: an entry that lacks a field, or whose state is
-    not one of those known, raises ``MalformedDocumentError``.
+    Entries may be written by other software: one that lacks a field or has an
+    unknown state raises ``MalformedDocumentError``.
     """
     fields = Fields.from_value(spec, f'servers/{name}')
-    description = fields.part('Info')
-    # Only its presence is checked: no decision rests on it.
-    description.text('Version')
-    # The state may stand beside the description or in the object's status.
+    description = fields.nested('Info')
+    # Checked for presence only; no decision depends on it.
+    description.string('Version')
+    # The status may be part of the spec or of the object itself.
     report = Fields.from_value(
         fields.table.get('Status') or status, f'servers/{name} status'
     )
-    # Unix milliseconds of the start; not told on every deployment.
-    born = fields.whole_from('born', 0, 0)
+    # Start time in Unix milliseconds; some deployments do not set it.
+    born = fields.integer_from('born', 0, 0)
     return UpstreamRecord(
         incarnation_name(name, born),
-        description.text('Service'),
-        _address(fields),
-        description.text('Zone'),
-        description.whole_from('Slots', 1),
-        _drains(report),
-        report.whole_from('Sequence', 0),
-        report.number_between('ColdRemainingS', 0, inf),
+        description.string('Service'),
+        _decode_address(fields),
+        description.string('Zone'),
+        description.integer_from('Slots', 1),
+        _parse_draining(report),
+        report.integer_from('Sequence', 0),
+        report.number_in_range('ColdRemainingS', 0, inf),
         name,
         born,
     )
 
 
-def _address(fields: Fields) -> str:
-    address = fields.text('Address')
+def _decode_address(fields: Fields) -> str:
+    address = fields.string('Address')
     host, _, port = address.rpartition(':')
     if not host or not (port.isascii() and port.isdigit()):
-        raise fields.fault('Address', 'an IP number and a port')
-    if not 0 < int(port) <= _HIGHEST_PORT:
-        raise fields.fault('Address', 'a port that exists')
+        raise fields.error('Address', 'an IP address and a port')
+    if not 0 < int(port) <= _MAX_PORT:
+        raise fields.error('Address', 'a valid port')
     return address
 
 
-def _drains(report: Fields) -> bool:
-    drains = _DRAINS.get(report.text('State'))
-    if drains is None:
-        raise report.fault('State', 'a known state')
-    return drains
+def _parse_draining(report: Fields) -> bool:
+    draining = _DRAINING_BY_STATE.get(report.string('State'))
+    if draining is None:
+        raise report.error('State', 'a known state')
+    return draining
 
 
-def _customers(fields: Fields) -> CustomerTable | None:
+def _decode_customers(fields: Fields) -> CustomerTable | None:
     if fields.table.get('Tenants') is None:
         return None
-    customers = [_customer(row) for row in fields.rows('Tenants')]
+    customers = [_decode_customer(row) for row in fields.rows('Tenants')]
     try:
         return CustomerTable.from_customers(customers)
     except DuplicateKeyError as error:
-        raise MalformedDocumentError(f'{error} at {fields.where}') from error
+        raise MalformedDocumentError(f'{error} at {fields.location}') from error
 
 
-def _customer(row: Fields) -> Customer:
-    priority = row.whole('Priority') if 'Priority' in row.table else None
-    rate = row.number_between('RatePerS', 0, inf, 0)
-    burst = row.number_between('Burst', 0, inf, 0)
+def _decode_customer(row: Fields) -> Customer:
+    priority = row.integer('Priority') if 'Priority' in row.table else None
+    rate = row.number_in_range('RatePerS', 0, inf, 0)
+    burst = row.number_in_range('Burst', 0, inf, 0)
     return Customer(
-        row.text('Name'),
-        tuple(digest_of_key(key.encode()) for key in row.texts('ApiKeys')),
-        frozenset(row.texts('AllowedRegions')),
+        row.string('Name'),
+        tuple(digest_of_key(key.encode()) for key in row.strings('ApiKeys')),
+        frozenset(row.strings('AllowedRegions')),
         priority,
         Quota(rate, burst) if rate else None,
     )
 
 
-def _service(row: Fields) -> ServicePolicy:
+def _decode_service(row: Fields) -> ServicePolicy:
     return ServicePolicy(
-        row.text('Name'),
-        row.whole('MaxConnections', 0),
+        row.string('Name'),
+        row.integer('MaxConnections', 0),
         row.number('ColdStartS', 0),
         row.number('ColdPerS', 0),
     )
 
 
-def _route(row: Fields, services: set[str]) -> Route:
-    kind = _ROUTE_KINDS.get(row.text('RouteType'))
+def _decode_route(row: Fields, services: set[str]) -> Route:
+    kind = _ROUTE_KINDS.get(row.string('RouteType'))
     if kind is None:
-        raise MalformedDocumentError(f'unknown kind of route at {row.where}')
-    prefix = row.text('PathPrefix')
+        raise MalformedDocumentError(f'unknown route type at {row.location}')
+    prefix = row.string('PathPrefix')
     if not (prefix.startswith('/') and prefix.endswith('/')):
-        raise MalformedDocumentError(f'expected slashes at {row.where}')
+        raise MalformedDocumentError(
+            f'expected a prefix between slashes at {row.location}'
+        )
     return Route(
-        row.text('Name'),
-        row.text('Host').lower(),
+        row.string('Name'),
+        row.string('Host').lower(),
         prefix,
         kind,
         row.number('TimeoutS', _DEFAULT_TIMEOUT),
         row.number('TargetLatencyS', _DEFAULT_TIMEOUT),
-        row.whole('Priority', 0),
-        _parts(row, services),
-        row.whole('MaxAttempts', _DEFAULT_ATTEMPTS),
+        row.integer('Priority', 0),
+        _decode_traffic_split(row, services),
+        row.integer('MaxAttempts', _DEFAULT_MAX_ATTEMPTS),
         row.flag('SessionAffinity'),
-        frozenset(row.texts('AllowedRegions')),
+        frozenset(row.strings('AllowedRegions')),
         row.flag('Public'),
     )
 
 
-def _parts(row: Fields, services: set[str]) -> tuple[ServiceWeight, ...]:
+def _decode_traffic_split(
+    row: Fields, services: set[str]
+) -> tuple[ServiceWeight, ...]:
     split = row.table.get('TrafficSplit')
     if split:
         entries = [
-            Fields.from_value(entry, f'{row.where}.TrafficSplit')
+            Fields.from_value(entry, f'{row.location}.TrafficSplit')
             for entry in split
         ]
         parts = tuple(
-            ServiceWeight(entry.text('Service'), entry.number('Weight'))
+            ServiceWeight(entry.string('Service'), entry.number('Weight'))
             for entry in entries
         )
     else:
-        parts = (ServiceWeight(row.text('Service'), 1),)
+        parts = (ServiceWeight(row.string('Service'), 1),)
     for part in parts:
         if part.service not in services:
-            raise MalformedDocumentError(f'unknown service at {row.where}')
+            raise MalformedDocumentError(f'unknown service at {row.location}')
     weights = [part.weight for part in parts]
     if min(weights) < 0 or sum(weights) <= 0:
-        raise MalformedDocumentError(f'expected weights at {row.where}')
+        raise MalformedDocumentError(
+            f'expected positive weights at {row.location}'
+        )
     return parts
 
 
-def _limits(fields: Fields) -> CallerLimits:
+def _decode_limits(fields: Fields) -> CallerLimits:
     return CallerLimits(
-        fields.whole('MaxHeaderBytes'),
-        fields.whole('MaxBodyBytes'),
+        fields.integer('MaxHeaderBytes'),
+        fields.integer('MaxBodyBytes'),
         fields.number('HeaderTimeoutS'),
         fields.number('IdleTimeoutS'),
     )
--- a/worksrail/platform/_settings.py
+++ b/worksrail/platform/_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, decoded into the product's settings."""
+"""Decoding of the platform's settings file."""
 
 import json
 import os
@@ -18,7 +18,7 @@
 
 
 def settings_path(environment: Mapping[str, str] = os.environ) -> Path:
-    """Where the settings file stands."""
+    """Return the path of the settings file from the environment."""
     path = environment.get(names.SETTINGS_PATH, '')
     if not path:
         raise MalformedDocumentError(
@@ -30,8 +30,8 @@
 def read_settings(path: Path) -> EntrySettings:
     """Read and decode the settings file.
 
-    Raises ``MalformedDocumentError`` when it cannot be read, as while it is
-    being written; unknown fields are passed over.
+    Raise ``MalformedDocumentError`` if it cannot be read, for example because
+    it is being written; unknown fields are ignored.
     """
     try:
         document = json.loads(path.read_text())
@@ -44,33 +44,33 @@
     document: Any,
     environment: Mapping[str, str] = os.environ,
 ) -> EntrySettings:
-    """Decode the settings file's document; a secret is in the environment."""
+    """Decode the settings; the fingerprint secret is in the environment."""
     fields = Fields.from_value(document, 'settings')
-    listen = fields.part('Listen')
-    zones = fields.part('Zones')
-    regions = {zone: zones.text(zone) for zone in zones.table}
-    port = _first_port(fields)
+    listen = fields.nested('Listen')
+    zones = fields.nested('Zones')
+    regions = {zone: zones.string(zone) for zone in zones.table}
+    port = _decode_peer_port(fields)
     return EntrySettings(
-        fields.text('NodeName'),
-        fields.text('Zone'),
-        fields.text('Region'),
+        fields.string('NodeName'),
+        fields.string('Zone'),
+        fields.string('Region'),
         regions,
         EntryAddresses(
-            listen.text('Front'),
-            listen.text('Ready'),
-            listen.text('Directory'),
-            f'{fields.text("Ip")}:{port}',
+            listen.string('Front'),
+            listen.string('Ready'),
+            listen.string('Directory'),
+            f'{fields.string("Ip")}:{port}',
         ),
-        _seeds(fields.texts('Seeds'), port),
-        fields.part('Platform').text('Address'),
-        _bounds(fields),
-        _limits(fields),
+        _decode_seeds(fields.strings('Seeds'), port),
+        fields.nested('Platform').string('Address'),
+        _decode_bounds(fields),
+        _decode_limits(fields),
         environment.get(names.FINGERPRINT_SECRET, ''),
         fields.table.get('Bootstrap') is True,
     )
 
 
-def _first_port(fields: Fields) -> int:
+def _decode_peer_port(fields: Fields) -> int:
     ports = fields.table.get('InternalPortRange')
     if not isinstance(ports, list) or not ports:
         raise MalformedDocumentError('expected ports as InternalPortRange')
@@ -79,28 +79,28 @@
     return ports[0]
 
 
-def _seeds(addresses: tuple[str, ...], port: int) -> tuple[str, ...]:
-    # Seeds name another port of the same entries; ports between entries are
-    # the same on all of them.
+def _decode_seeds(addresses: tuple[str, ...], port: int) -> tuple[str, ...]:
+    # Seeds are listed with another port of these entries; the peer port is the
+    # same on all of them.
     hosts = [address.rpartition(':')[0] for address in addresses]
     return tuple(f'{host}:{port}' for host in hosts)
 
 
-def _limits(fields: Fields) -> EntryLimits:
+def _decode_limits(fields: Fields) -> EntryLimits:
     if 'Limits' not in fields.table:
         return EntryLimits()
-    limits = fields.part('Limits')
-    usual = EntryLimits()
-    # The share is of one core, and cores say how much faster it is.
-    share = limits.number('CpuShare', usual.cores)
+    limits = fields.nested('Limits')
+    defaults = EntryLimits()
+    # CpuShare is a share of one core; Cores scales it.
+    share = limits.number('CpuShare', defaults.cores)
     return EntryLimits(
         share * limits.number('Cores', 1),
-        limits.number('LinkMbps', usual.link_mbps),
+        limits.number('LinkMbps', defaults.link_mbps),
     )
 
 
-def _bounds(fields: Fields) -> SteeringBounds:
-    pairs = [text.partition('=') for text in fields.texts('Bounds')]
+def _decode_bounds(fields: Fields) -> SteeringBounds:
+    pairs = [text.partition('=') for text in fields.strings('Bounds')]
     table: dict[str, Any] = {}
     for name, _, number in pairs:
         try:
@@ -108,23 +108,23 @@
         except ValueError:
             table[name] = number
     bounds = Fields(table, 'settings.Bounds')
-    usual = SteeringBounds()
+    defaults = SteeringBounds()
     return SteeringBounds(
-        repeat_ratio=bounds.number('RetryBudgetRatio', usual.repeat_ratio),
-        repeat_window=bounds.number('BudgetWindowS', usual.repeat_window),
-        repeat_extra=bounds.number('BudgetExtraRetries', usual.repeat_extra),
-        look_up_age=bounds.number('ttl_max_s', usual.look_up_age),
-        heartbeat=fields.number('HeartbeatIntervalS', usual.heartbeat),
-        grace_period=bounds.number('GracePeriodS', usual.grace_period),
-        region_shift=bounds.number('MaxRegionShift', usual.region_shift),
-        cold_factor=bounds.number('ColdLoadFactor', usual.cold_factor),
-        cold_extra=bounds.number('ColdSlack', usual.cold_extra),
+        repeat_ratio=bounds.number('RetryBudgetRatio', defaults.repeat_ratio),
+        repeat_window=bounds.number('BudgetWindowS', defaults.repeat_window),
+        repeat_extra=bounds.number('BudgetExtraRetries', defaults.repeat_extra),
+        look_up_age=bounds.number('ttl_max_s', defaults.look_up_age),
+        heartbeat=fields.number('HeartbeatIntervalS', defaults.heartbeat),
+        grace_period=bounds.number('GracePeriodS', defaults.grace_period),
+        region_shift=bounds.number('MaxRegionShift', defaults.region_shift),
+        cold_factor=bounds.number('ColdLoadFactor', defaults.cold_factor),
+        cold_extra=bounds.number('ColdSlack', defaults.cold_extra),
         quota=QuotaBounds(
-            bounds.number('QuotaWindowS', usual.quota.window),
-            bounds.number('QuotaOverage', usual.quota.overage),
-            bounds.number('QuotaSlack', usual.quota.slack),
+            bounds.number('QuotaWindowS', defaults.quota.window),
+            bounds.number('QuotaOverage', defaults.quota.overage),
+            bounds.number('QuotaSlack', defaults.quota.slack),
         ),
-        store_history=fields.part('Platform').number(
-            'HistoryS', usual.store_history
+        store_history=fields.nested('Platform').number(
+            'HistoryS', defaults.store_history
         ),
     )
--- a/worksrail/platform/_store.py
+++ b/worksrail/platform/_store.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store."""
+"""Client of the platform's store."""
 
 import json
 from collections.abc import Callable
@@ -26,9 +26,9 @@
 from worksrail.platform._objects import decode_configuration, decode_upstream
 
 _MILLISECONDS: Final = 1000
-_OK: Final = 200
-_GONE: Final = 410
-_REFUSALS: Final = frozenset((429, 503))
+_OK_STATUS: Final = 200
+_GONE_STATUS: Final = 410
+_REFUSED_STATUSES: Final = frozenset((429, 503))
 
 _KINDS: Final = {
     StoreKind.CONFIGURATION: names.CONFIGURATION_KIND,
@@ -38,8 +38,8 @@
 
 
 @dataclass(slots=True)
-class _Builder:
-    """Decodes objects of one kind into news."""
+class _UpdateBuilder:
+    """Builds a store update from objects of one kind."""
 
     kind: StoreKind
     revision: int = 0
@@ -49,45 +49,47 @@
     removed: dict[str, None] = field(default_factory=dict)
     faults: list[str] = field(default_factory=list)
 
-    def add(self, found: Any, *, gone: bool = False) -> None:
-        """Take in an object; one that makes no sense is a fault.
+    def add(self, document: Any, *, deleted: bool = False) -> None:
+        """Add an object; record one that cannot be decoded as a fault.
 
-        What an object was before counts no more, whatever it has become.
+        It replaces what was added under its name before, decoded or not.
         """
-        name = _name_of(found)
+        name = _name_of(document)
         self.records.pop(name, None)
         self.zones.pop(name, None)
         self.removed.pop(name, None)
         try:
-            self._add(Fields.from_value(found, self.kind.value), gone=gone)
+            self._add(
+                Fields.from_value(document, self.kind.value), deleted=deleted
+            )
         except MalformedDocumentError as error:
             self.faults.append(str(error))
             if name and self.kind is StoreKind.UPSTREAMS:
                 self.removed[name] = None
 
     def add_page(self, page: Fields) -> str:
-        """Take in a page; gives the name to go on after, or nothing."""
-        # Pages may differ in age; a watch from the oldest one's revision
-        # tells whatever the others lack.
-        revision = page.whole('AsOf')
+        """Add a page; return the last name if more pages follow."""
+        # Pages may come from replicas of different age.  A watch that starts at
+        # the lowest revision delivers every change that any page lacks.
+        revision = page.integer('AsOf')
         self.revision = min(self.revision or revision, revision)
         entries = page.table['items']
         for entry in entries:
             self.add(entry)
         if not page.flag('HasMore'):
             return ''
-        names_told = [name for name in map(_name_of, entries) if name]
-        return names_told[-1]
+        page_names = [name for name in map(_name_of, entries) if name]
+        return page_names[-1]
 
     def add_events(self, answer: Fields) -> None:
-        """Take in what a watch told."""
-        self.revision = answer.whole('AsOf')
+        """Add the events that a watch returned."""
+        self.revision = answer.integer('AsOf')
         for entry in answer.table.get('events') or ():
             event = Fields.from_value(entry, 'event')
-            self.add(event.table.get('Object'), gone=event.flag('Deleted'))
+            self.add(event.table.get('Object'), deleted=event.flag('Deleted'))
 
-    def news(self) -> StoreUpdate:
-        """Everything that was added."""
+    def build(self) -> StoreUpdate:
+        """Return the update with everything that was added."""
         return StoreUpdate(
             self.revision,
             self.configuration,
@@ -97,31 +99,31 @@
             tuple(self.faults),
         )
 
-    def _add(self, found: Fields, *, gone: bool) -> None:
-        name = found.part('Metadata').text('Name')
-        if gone:
+    def _add(self, fields: Fields, *, deleted: bool) -> None:
+        name = fields.nested('Metadata').string('Name')
+        if deleted:
             self.removed[name] = None
         elif self.kind is StoreKind.EVACUATIONS:
             self.zones[name] = None
         elif self.kind is StoreKind.UPSTREAMS:
-            spec, status = found.table.get('Spec'), found.table.get('Status')
+            spec, status = fields.table.get('Spec'), fields.table.get('Status')
             self.records[name] = decode_upstream(name, spec, status)
         elif name == names.CONFIGURATION_NAME:
-            self.configuration = decode_configuration(found.table.get('Spec'))
+            self.configuration = decode_configuration(fields.table.get('Spec'))
 
 
-def _name_of(found: Any) -> str:
-    """Name of an object, or nothing if it cannot be read."""
+def _name_of(document: Any) -> str:
+    """Return the name of an object, or an empty string if it has none."""
     try:
-        name = found['Metadata']['Name']
+        name = document['Metadata']['Name']
     except (LookupError, TypeError):
         return ''
     return name if isinstance(name, str) else ''
 
 
-def _document(body: bytes) -> Any:
-    # Others may have written bytes that are no text into one object; the
-    # others in the same answer must not be lost for it.
+def _parse_json(body: bytes) -> Any:
+    # Another writer may have put invalid UTF-8 into one object, which must not
+    # make the other objects of the answer unreadable.
     return json.loads(body.decode(errors='replace'), strict=False)
 
 
@@ -129,14 +131,14 @@
 class PlatformStore:
     """Reads and watches the platform's objects.
 
-    Every call has a time limit and gives a sentinel instead of raising.
+    Every call has a timeout, and returns a ``StoreFault`` instead of raising.
     """
 
     address: str
-    """IP number and port."""
+    """IP address and port of the store."""
 
-    count: Callable[[str], None]
-    """Counts calls by kind."""
+    count_call: Callable[[str], None]
+    """Counts calls to the store by kind."""
 
     pool: ConnectionPool = field(
         default_factory=lambda: ConnectionPool(_clock.monotonic)
@@ -152,10 +154,10 @@
     ) -> StoreUpdate | StoreFault:
         """Read all objects of a kind, page by page.
 
-        Each is waited for some seconds.  A stale list may be seconds old and
-        costs a tenth.
+        The timeout in seconds applies to each page.  A stale list may be
+        seconds old and costs a tenth of a current one.
         """
-        builder = _Builder(kind)
+        builder = _UpdateBuilder(kind)
         query = {'Serializable': '1'} if stale else {}
         after = ''
         while True:
@@ -167,7 +169,7 @@
             except (LookupError, TypeError, MalformedDocumentError):
                 return StoreFault.MALFORMED
             if not after:
-                return builder.news()
+                return builder.build()
 
     async def watch(
         self,
@@ -175,7 +177,7 @@
         since: int,
         seconds: float,
     ) -> StoreUpdate | StoreFault:
-        """Wait for changes after a revision, some seconds at most."""
+        """Wait at most some seconds for changes after a revision."""
         query = {
             'Watch': str(since),
             'WaitMs': str(int(seconds * _MILLISECONDS)),
@@ -183,12 +185,12 @@
         answer = await self._call(kind, query, seconds + ANSWER_TIME)
         if isinstance(answer, StoreFault):
             return answer
-        builder = _Builder(kind)
+        builder = _UpdateBuilder(kind)
         try:
             builder.add_events(answer)
         except (TypeError, MalformedDocumentError):
             return StoreFault.MALFORMED
-        return builder.news()
+        return builder.build()
 
     async def _call(
         self,
@@ -196,38 +198,38 @@
         query: dict[str, str],
         timeout: float,
     ) -> Fields | StoreFault:
-        self.count(kind.value)
+        self.count_call(kind.value)
         collector = CollectedAnswer()
         attempt = HttpAttempt(
             self.pool,
             _clock.monotonic,
-            self._outgoing(kind, query, timeout),
+            self._build_request(kind, query, timeout),
             BodyStream.from_bytes(b''),
             collector,
         )
         report = await attempt.run()
         if report.end is not AttemptEnd.WHOLE:
             return StoreFault.CUT if report.closed else StoreFault.UNREACHABLE
-        if collector.status == _GONE:
+        if collector.status == _GONE_STATUS:
             return StoreFault.HISTORY_GONE
-        if collector.status != _OK:
-            refused = collector.status in _REFUSALS
+        if collector.status != _OK_STATUS:
+            refused = collector.status in _REFUSED_STATUSES
             return StoreFault.REFUSED if refused else StoreFault.MALFORMED
         try:
-            return Fields.from_value(_document(collector.body), 'answer')
+            return Fields.from_value(_parse_json(collector.body), 'answer')
         except (ValueError, RecursionError):
             return StoreFault.MALFORMED
 
-    def _outgoing(
+    def _build_request(
         self,
         kind: StoreKind,
         query: dict[str, str],
         timeout: float,
     ) -> Outgoing:
-        given = {name: text for name, text in query.items() if text}
+        parameters = {name: text for name, text in query.items() if text}
         target = names.OBJECTS + quote(_KINDS[kind])
-        if given:
-            target = f'{target}?{urlencode(given)}'
+        if parameters:
+            target = f'{target}?{urlencode(parameters)}'
         return Outgoing(
             self.address,
             httputil.RequestStartLine('GET', target, 'HTTP/1.1'),
