--- a/worksrail/platform/_fields.py
+++ b/worksrail/platform/_fields.py
@@ -53,7 +53,7 @@
         """Return an integer that is at least the minimum."""
         raw = self.integer(name, default)
         if raw < minimum:
-            raise self.error(name, f'an integer of at least {minimum}')
+            raise self.error(name, f'an integer from {minimum} up')
         return raw
 
     def number(self, name: str, default: float | None = None) -> float:
@@ -67,13 +67,13 @@
         self,
         name: str,
         minimum: float,
-        limit: float,
+        below: float,
         default: float | None = None,
     ) -> float:
-        """Return a number with ``minimum <= number < limit``, not NaN."""
+        """Return a number with ``minimum <= number < below``, not NaN."""
         raw = self.number(name, default)
-        if not minimum <= raw < limit:
-            raise self.error(name, f'a number from {minimum} to {limit}')
+        if not minimum <= raw < below:
+            raise self.error(name, f'a number from {minimum} to {below}')
         return raw
 
     def flag(self, name: str) -> bool:
--- a/worksrail/platform/_objects.py
+++ b/worksrail/platform/_objects.py
@@ -101,10 +101,10 @@
 
 
 def _parse_draining(report: Fields) -> bool:
-    draining = _DRAINING_BY_STATE.get(report.string('State'))
-    if draining is None:
+    drains = _DRAINING_BY_STATE.get(report.string('State'))
+    if drains is None:
         raise report.error('State', 'a known state')
-    return draining
+    return drains
 
 
 def _decode_customers(fields: Fields) -> CustomerTable | None:
@@ -185,7 +185,7 @@
     weights = [part.weight for part in parts]
     if min(weights) < 0 or sum(weights) <= 0:
         raise MalformedDocumentError(
-            f'expected positive weights at {row.location}'
+            f'expected weights with a positive sum at {row.location}'
         )
     return parts
 
