--- a/worksrail/daemon/steered/__init__.py
+++ b/worksrail/daemon/steered/__init__.py
@@ -1,7 +1,7 @@
-"""The daemon of an entry that finds its upstreams by discovery."""
+"""The daemon of an entry that discovers its upstreams from a store."""
 
 from worksrail.daemon.steered._adapter import (
-    ANSWER_TIME,
+    ANSWER_TIMEOUT,
     Adapter,
     LookUpQuery,
     SteeringStore,
@@ -12,7 +12,7 @@
 from worksrail.daemon.steered._daemon import serve
 
 __all__ = (
-    'ANSWER_TIME',
+    'ANSWER_TIMEOUT',
     'Adapter',
     'LookUpQuery',
     'SteeringStore',
--- a/worksrail/daemon/steered/_adapter.py
+++ b/worksrail/daemon/steered/_adapter.py
@@ -1,6 +1,6 @@
-"""What a platform has to translate for an entry.
+"""Interfaces between an entry and the platform that it runs on.
 
-An adapter knows the names and formats of one platform and decides nothing.
+An adapter translates names and formats of one platform and makes no decisions.
 """
 
 from collections.abc import Callable
@@ -25,36 +25,36 @@
 from worksrail.core.steering.kinds import StoreKind
 from worksrail.daemon.http._dialect import CallerDialect
 
-# Seconds for an answer that need not wait; a store's own time is some
-# milliseconds, or sixty times that when it is slow.
-ANSWER_TIME: Final = 2.0
+# Timeout in seconds for calls that need not wait for a change.  A store answers
+# in some milliseconds, or in sixty times that when it is slow.
+ANSWER_TIMEOUT: Final = 2.0
 
 
 @unique
 class StoreFault(Enum):
-    """Sentinel: why the store gave nothing."""
+    """Sentinel: why a call to the store returned no update."""
 
     UNREACHABLE = 'there was no answer'
     CUT = 'the connection was closed while a call waited'
     REFUSED = 'the store turned the call away'
-    DOUBTED = 'the store has been silent since it was asked'
+    ABANDONED = 'the store has been silent since it was asked'
     HISTORY_GONE = 'changes since that revision are not kept any more'
     MALFORMED = 'the answer makes no sense'
 
 
 class SteeringStore(Protocol):
-    """The platform's store, as far as entries read it."""
+    """The part of the platform's store that entries read."""
 
     async def read_all(
         self,
         kind: StoreKind,
         *,
         stale: bool = False,
-        seconds: float = ANSWER_TIME,
+        seconds: float = ANSWER_TIMEOUT,
     ) -> StoreUpdate | StoreFault:
         """Read all objects of a kind; a stale list costs less.
 
-        Each page of it is waited for some seconds.
+        The timeout in seconds applies to each page.
         """
 
     async def watch(
@@ -63,34 +63,34 @@
         since: int,
         seconds: float,
     ) -> StoreUpdate | StoreFault:
-        """Wait for changes after a revision, some seconds at most."""
+        """Wait at most some seconds for changes after a revision."""
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamAnswer:
-    """What the head of an upstream's answer says besides its status."""
+    """Contents of the head of an upstream's answer, besides its status."""
 
     trace: str
-    """Request that it answers; empty if it does not say."""
+    """Identifier of the request that it answers; empty if it has none."""
 
     executed: bool
     """Whether the upstream executed the request."""
 
     misdirected: bool
-    """Whether another upstream has the address."""
+    """Whether another upstream has the address now."""
 
     altered: bool
-    """Whether the body is not the upstream's own bytes."""
+    """Whether the body differs from the bytes that the upstream sent."""
 
     load: ReportedLoad | None
-    """The upstream's load, if it tells it."""
+    """The load that the upstream reports, if any."""
 
     rate: float | NoRate = NoRate.NOT_NAMED
-    """Requests a second that it takes from all entries together."""
+    """Requests per second that it accepts from all entries together."""
 
 
 class UpstreamDialect(Protocol):
-    """Spells requests to upstreams and reads their answers."""
+    """Translates requests to upstreams and parses their answers."""
 
     def mark_request(
         self,
@@ -99,18 +99,18 @@
         time_left: float,
         customer: CustomerName,
     ) -> None:
-        """Name the upstream, the seconds it has, and whose request it is.
+        """Set the headers for the upstream, the seconds left and the customer.
 
-        The caller's key goes no further.
+        The caller's API key is removed.
         """
 
     def read_answer(self, status: int, headers: HTTPHeaders) -> UpstreamAnswer:
-        """Read the head of an answer."""
+        """Parse the head of an answer."""
 
 
 @dataclass(frozen=True, slots=True)
 class LookUpQuery:
-    """A look-up: which entries shall callers of this place use."""
+    """A look-up of the entries that callers of a region and zone should use."""
 
     region: RegionName
     """Region of the callers."""
@@ -120,7 +120,7 @@
 
 
 class RequestDialect(CallerDialect, Protocol):
-    """Reads requests of callers, besides spelling their answers."""
+    """Parses requests of callers and renders answers to them."""
 
     def read_head(
         self,
@@ -128,34 +128,34 @@
         target: str,
         headers: HTTPHeaders,
     ) -> SteeredHead | None:
-        """What decisions need to know; None if a header is malformed."""
+        """Parse the head of a request; return None if a header is malformed."""
 
     def is_readiness_check(self, target: str) -> bool:
-        """Whether this asks if the entry is ready."""
+        """Return whether the target is that of readiness checks."""
 
     def read_look_up(self, target: str) -> LookUpQuery | None:
-        """The look-up that a target asks, if it is one."""
+        """Parse a look-up query; return None for any other target."""
 
     def render_entries(self, entries: EntryList) -> bytes:
-        """The document that answers a look-up."""
+        """Render the document that answers a look-up."""
 
 
-class SettingsFaultError(ValueError):
-    """The settings cannot be used; the text names what was expected."""
+class InvalidSettingsError(ValueError):
+    """The settings are unusable; the message says what was expected."""
 
 
 @dataclass(frozen=True, slots=True)
 class Adapter:
-    """All translations of one platform."""
+    """All translators of one platform."""
 
     read_settings: Callable[[], EntrySettings]
-    """Reads the settings anew; raises ``SettingsFaultError``."""
+    """Reads the current settings; raises ``InvalidSettingsError``."""
 
     callers: RequestDialect
-    """Towards callers."""
+    """Dialect for callers."""
 
     upstreams: UpstreamDialect
-    """Towards upstreams."""
+    """Dialect for upstreams."""
 
     open_store: Callable[[str, Callable[[str], None]], SteeringStore]
-    """Makes a client of the store at an address; counts calls by kind."""
+    """Creates a store client from an address and a counter of calls by kind."""
--- a/worksrail/daemon/steered/_checking.py
+++ b/worksrail/daemon/steered/_checking.py
@@ -1,4 +1,4 @@
-"""Asks the store something small, to know whether it answers."""
+"""Health check of the store: a small call that shows whether it answers."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -8,29 +8,29 @@
 from worksrail.daemon.steered._adapter import SteeringStore, StoreFault
 from worksrail.daemon.steered._engine import SteeringEngine
 
-# Seconds for the answer: a slow store takes 0.25 s, the way to it 0.1 s.  One
-# check that is lost and the next one together are shorter than an outage from
-# which upstreams' entries may lapse.
-_CHECK_TIME: Final = 0.7
+# Timeout in seconds: a slow store takes 0.25 s, the network 0.1 s.  A lost
+# check and the next one together take less time than the shortest outage after
+# which the registrations of upstreams may expire.
+_CHECK_TIMEOUT: Final = 0.7
 
 
 @dataclass(slots=True)
 class StoreChecker:
-    """Makes one check at a time."""
+    """Runs health checks of the store."""
 
     engine: SteeringEngine
-    """Takes the events."""
+    """Handles the events."""
 
     store: SteeringStore
-    """Is asked."""
+    """The store to check."""
 
     async def check(self) -> None:
-        """Ask the store; an event follows in any case."""
-        asked_at = self.engine.now()
-        # Evacuations are few, and a list of them may be old.
+        """Call the store and dispatch an event with the result."""
+        called_at = self.engine.now()
+        # Evacuations are few, and a stale list of them is cheapest.
         answer = await self.store.read_all(
-            StoreKind.EVACUATIONS, stale=True, seconds=_CHECK_TIME
+            StoreKind.EVACUATIONS, stale=True, seconds=_CHECK_TIMEOUT
         )
         failure = answer.value if isinstance(answer, StoreFault) else ''
         now = self.engine.now()
-        self.engine.dispatch(StoreChecked(now, failure, now - asked_at))
+        self.engine.dispatch(StoreChecked(now, failure, now - called_at))
--- a/worksrail/daemon/steered/_daemon.py
+++ b/worksrail/daemon/steered/_daemon.py
@@ -1,4 +1,4 @@
-"""One entry with discovered upstreams, from its settings to its end."""
+"""The process of one entry with discovered upstreams."""
 
 import asyncio
 import contextlib
@@ -52,7 +52,7 @@
     ExchangeServer,
     HttpLimits,
 )
-from worksrail.daemon.steered._adapter import Adapter, SettingsFaultError
+from worksrail.daemon.steered._adapter import Adapter, InvalidSettingsError
 from worksrail.daemon.steered._checking import StoreChecker
 from worksrail.daemon.steered._decisions import DecisionLog
 from worksrail.daemon.steered._digests import DigestPort
@@ -68,13 +68,13 @@
 from worksrail.daemon.steered._requests import SteeredRequests
 
 _LOG: Final = Logger('worksrail.daemon')
-# Seconds between two rounds of decisions that only time makes due.
-_TICK: Final = 0.1
-# Seconds that closing connections may take at the end.
-_LAST_CLOSES: Final = 0.1
-# Seconds between looks at the settings and summaries of the log.
-_HOUSEKEEPING: Final = 1.0
-# Port of the metrics, on the address of readiness checks.
+# Interval in seconds of decisions that depend on time alone.
+_TICK_INTERVAL: Final = 0.1
+# Timeout in seconds for closing connections at exit.
+_CLOSE_TIMEOUT: Final = 0.1
+# Interval in seconds of reloading the settings and summarising the log.
+_HOUSEKEEPING_INTERVAL: Final = 1.0
+# Port of the metrics, at the host of the readiness checks.
 _METRICS_PORT: Final = 9464
 _MICROSECONDS: Final = 1_000_000
 
@@ -84,43 +84,43 @@
     """All parts of one process."""
 
     adapter: Adapter
-    """Translates for the platform."""
+    """Translators of the platform."""
 
     engine: SteeringEngine
-    """Events, state and effects."""
+    """Runs events, state and effects."""
 
     requests: SteeredRequests
-    """Requests under way."""
+    """Requests in progress."""
 
     digests: DigestPort
-    """Digests of other entries."""
+    """Exchanges messages with other entries."""
 
     followers: tuple[Follower, ...]
-    """Follow the store."""
+    """Watch the store, one for each kind of object."""
 
     checker: StoreChecker
     """Checks whether the store answers."""
 
     turn: asyncio.Event
-    """Set while it is this entry's duty to read the store."""
+    """Set while this entry is one of those that read the store."""
 
     decisions: DecisionLog
-    """Writes decisions."""
+    """Logs decisions."""
 
     sink: LineSink
-    """Takes log lines."""
+    """Writes log lines."""
 
     stopped: asyncio.Event
     """Set when a graceful stop is complete."""
 
     servers: list[ExchangeServer] = field(default_factory=list)
-    """Servers that listen; the one for callers is the first."""
+    """Listening servers; the first one is for callers."""
 
     tasks: set[asyncio.Task[None]] = field(default_factory=set)
-    """Work in the background."""
+    """Background tasks."""
 
     failed: bool = False
-    """Work in the background has failed; the process ends for it."""
+    """Whether a background task failed, which ends the process."""
 
     @classmethod
     def from_adapter(
@@ -129,7 +129,7 @@
         settings: EntrySettings,
         sink: LineSink,
     ) -> 'SteeredDaemon':
-        """Build all parts; nothing listens yet."""
+        """Create all parts without listening yet."""
         who = Incarnation(settings.name, time.time_ns() // _MICROSECONDS)
         state = SteeringState.from_settings(
             settings, who, _clock.monotonic(), time.time_ns()
@@ -160,11 +160,11 @@
             sink,
             asyncio.Event(),
         )
-        engine.runners = daemon.make_runners()
+        engine.runners = daemon.effect_runners()
         return daemon
 
-    def make_runners(self) -> dict[type, Runner]:
-        """Who runs which effect."""
+    def effect_runners(self) -> dict[type, Runner]:
+        """Return the function that runs each type of effect."""
         news = NewsClient(self.engine, ConnectionPool(self.engine.now))
         return {
             SendUpstream: self.requests.send_upstream,
@@ -174,35 +174,35 @@
             SendDigest: self.digests.send,
             SendLimitMessage: self.digests.send_limit_message,
             SendPacingMessage: self.digests.send_pacing_message,
-            WatchStore: self.follow,
+            WatchStore: self.set_watching,
             ListStore: self.list_store,
             CheckStore: self.check_store,
-            RestartStoreCalls: self.ask_anew,
+            RestartStoreCalls: self.restart_calls,
             FetchStoreUpdate: news.fetch,
             Decision: self.decisions.write,
             ExitProcess: lambda _: self.stopped.set(),
         }
 
-    def follow(self, effect: WatchStore) -> None:
-        """Begin or cease to read the store."""
+    def set_watching(self, effect: WatchStore) -> None:
+        """Start or stop watching the store."""
         if effect.active:
             self.turn.set()
         else:
             self.turn.clear()
 
     def list_store(self, effect: ListStore) -> None:
-        """Read everything in the store once, each kind by itself."""
+        """Read all objects of the store once, each kind separately."""
         for follower in self.followers:
-            self._begin(follower.list_once())
+            self._start_task(follower.list_once())
 
     def check_store(self, _: CheckStore) -> None:
-        """Find out whether the store answers."""
-        self._begin(self.checker.check())
+        """Start a health check of the store."""
+        self._start_task(self.checker.check())
 
-    def ask_anew(self, _: RestartStoreCalls) -> None:
-        """Make the calls to the store again that wait."""
+    def restart_calls(self, _: RestartStoreCalls) -> None:
+        """Restart the calls to the store that are waiting."""
         for follower in self.followers:
-            follower.ask_anew()
+            follower.restart_call()
 
     async def run(self) -> None:
         """Serve until a graceful stop is complete."""
@@ -211,50 +211,50 @@
         self._listen(settings)
         self.begin_work()
         loop = asyncio.get_running_loop()
-        take_signals(loop, self.stop, self.reload_when_told)
-        self._begin(notify_ready())
+        take_signals(loop, self.stop, self.reload_on_signal)
+        self._start_task(notify_ready())
         _LOG.info('started', extra={'incarnation': self.engine.state.who.label})
         await self.stopped.wait()
         await self._close()
 
     def begin_work(self) -> None:
-        """Begin what goes on besides serving, until the tasks are cancelled."""
+        """Start the background tasks, which run until they are cancelled."""
         work = [follower.run() for follower in self.followers]
-        for one in (*work, self._tick(), self._keep_house()):
-            self._begin(one)
+        for task in (*work, self._tick(), self._run_housekeeping()):
+            self._start_task(task)
 
     def stop(self) -> None:
-        """Begin a graceful stop."""
+        """Start a graceful stop."""
         self.engine.dispatch(StopRequested(self.engine.now()))
 
-    def reload_when_told(self) -> None:
-        """Read the settings again, on SIGHUP."""
+    def reload_on_signal(self) -> None:
+        """Reload the settings on SIGHUP."""
         _LOG.info('reload asked for')
         self.reload()
 
     def reload(self) -> None:
-        """Read the settings again; unusable ones change nothing."""
+        """Reload the settings; invalid ones are logged and ignored."""
         try:
             settings = self.adapter.read_settings()
-        except SettingsFaultError as fault:
+        except InvalidSettingsError as fault:
             _LOG.warning('settings not reloaded', extra={'problem': str(fault)})
             return
         if settings != self.engine.state.settings:
             self.engine.state.settings = settings
             _LOG.info('settings reloaded')
 
-    def _begin(self, work: Coroutine[Any, Any, None]) -> None:
+    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.ensure_future(work)
         self.tasks.add(task)
-        task.add_done_callback(self._note_end)
+        task.add_done_callback(self._on_task_end)
 
-    def _note_end(self, task: asyncio.Task[None]) -> None:
+    def _on_task_end(self, task: asyncio.Task[None]) -> None:
         self.tasks.discard(task)
-        # An entry whose clock or followers stand still would serve on with
-        # what it knew; a new process is better.
+        # Without its timer or its store watches, an entry would keep serving
+        # with outdated state; a restart of the process is better.
         if not task.cancelled() and task.exception():
             _LOG.critical(
-                'work in the background failed',
+                'background task failed',
                 exc_info=task.exception(),
             )
             self.failed = True
@@ -272,8 +272,8 @@
         try:
             self._serve(f'{host}:{_METRICS_PORT}', metrics)
         except OSError as error:
-            # Requests are served without metrics as well.
-            _LOG.warning('no metrics', extra={'problem': str(error)})
+            # Requests can be served without metrics.
+            _LOG.warning('metrics not served', extra={'problem': str(error)})
 
     def _serve(self, address: str, handler: ExchangeHandler) -> None:
         numbers = itertools.count(1)
@@ -287,25 +287,25 @@
     async def _tick(self) -> None:
         while True:
             self.engine.tick()
-            await asyncio.sleep(_TICK)
+            await asyncio.sleep(_TICK_INTERVAL)
 
-    async def _keep_house(self) -> None:
+    async def _run_housekeeping(self) -> None:
         while True:
-            await asyncio.sleep(_HOUSEKEEPING)
+            await asyncio.sleep(_HOUSEKEEPING_INTERVAL)
             self.decisions.summarise()
             self.sink.flush()
-            # The settings may change without a signal.
+            # The settings file may change without a signal.
             self.reload()
-            self._limit_callers()
+            self._apply_caller_limits()
 
-    def _limit_callers(self) -> None:
+    def _apply_caller_limits(self) -> None:
         configuration = self.engine.state.configuration
         if isinstance(configuration, RoutingConfiguration):
             limits = configuration.limits
             self.servers[0].limits = HttpLimits(
                 header_bytes=limits.header_bytes,
                 body_bytes=limits.body_bytes,
-                # The HTTP library knows one time for idleness and headers.
+                # Tornado has one timeout for idle connections and for headers.
                 header_seconds=max(limits.idle_time, limits.header_time),
             )
 
@@ -316,17 +316,17 @@
         for server in self.servers:
             server.stop()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(_LAST_CLOSES):
-                for closing in self.servers:
-                    await closing.close_connections()
+            async with asyncio.timeout(_CLOSE_TIMEOUT):
+                for listening in self.servers:
+                    await listening.close_connections()
         self.digests.close()
 
 
 def serve(adapter: Adapter) -> None:
-    """Serve with the settings that the adapter reads, until stopped."""
+    """Run an entry with the settings of the adapter until it is stopped."""
     try:
         settings = adapter.read_settings()
-    except SettingsFaultError as fault:
+    except InvalidSettingsError as fault:
         code = ResultCode.INVALID_SETTINGS
         document = {'result': code.number, 'problem': str(fault)}
         sys.stderr.write(json.dumps(document) + '\n')
--- a/worksrail/daemon/steered/_decisions.py
+++ b/worksrail/daemon/steered/_decisions.py
@@ -1,4 +1,4 @@
-"""Writes decisions to the log, in bounds, and counts them."""
+"""Rate-limited log of decisions, which also counts them in the metrics."""
 
 import time
 from collections import Counter
@@ -14,8 +14,8 @@
 
 _LOG: Final = Logger('worksrail.decisions')
 
-# Decisions that belong to a request; they are kept until it ends.
-_OF_REQUESTS: Final = frozenset(
+# Kinds of decisions about a request, which are kept until the request ends.
+_REQUEST_KINDS: Final = frozenset(
     (
         DecisionKind.REQUEST_SENT,
         DecisionKind.REQUEST_REPEATED,
@@ -25,48 +25,49 @@
     )
 )
 _SUCCESS: Final = DecisionKind.REQUEST_ANSWERED
-_ENDS: Final = frozenset(
+_UNSUCCESSFUL_ENDS: Final = frozenset(
     (
         DecisionKind.REQUEST_REFUSED,
         DecisionKind.REQUEST_FAILED,
         DecisionKind.REQUEST_DROPPED,
     )
 )
-# Requests a second whose decisions are all written, by how they ended: every
-# failure up to a limit that a reader can follow, and a sample of successes.
-_FAILURES_PER_S: Final = 50
-_LATE_PER_S: Final = 5
-_SUCCESSES_PER_S: Final = 1
-# Decisions a second of each other kind.
-_OTHERS_PER_S: Final = 100
+# Maximum number of requests per second whose decisions are all logged, by the
+# way they ended: every failure up to a rate that a reader can follow, and a
+# sample of the successes.
+_MAX_FAILURES_PER_S: Final = 50
+_MAX_LATE_PER_S: Final = 5
+_MAX_SUCCESSES_PER_S: Final = 1
+# Maximum number of decisions per second of each other kind.
+_MAX_OTHERS_PER_S: Final = 100
 
 
 @dataclass(slots=True)
 class SecondLimit:
-    """Allows a number of things in each second."""
+    """Limits the number of log entries per second, by name."""
 
     second: int = 0
-    """The second that is counted."""
+    """The current second."""
 
     counts: Counter[str] = field(default_factory=Counter)
-    """What was allowed in it, by name."""
+    """Number allowed in the current second, by name."""
 
     left_out: Counter[str] = field(default_factory=Counter)
-    """What was not allowed since the last summary, by name."""
+    """Number denied since the last summary, by name."""
 
-    def allows(self, name: str, most: int, now: float) -> bool:
-        """Whether one more is allowed."""
+    def allows(self, name: str, maximum: int, now: float) -> bool:
+        """Return whether one more is allowed, and count it."""
         if int(now) != self.second:
             self.second = int(now)
             self.counts.clear()
-        if self.counts[name] >= most:
+        if self.counts[name] >= maximum:
             self.left_out[name] += 1
             return False
         self.counts[name] += 1
         return True
 
     def take_left_out(self) -> dict[str, int]:
-        """What was left out since the last time this was asked."""
+        """Return the numbers denied since the last call, and reset them."""
         left_out = dict(self.left_out)
         self.left_out.clear()
         return left_out
@@ -80,53 +81,53 @@
 
 @dataclass(slots=True)
 class DecisionLog:
-    """Keeps the decisions of each request until it ends.
+    """Logs the decisions of each request when it ends.
 
-    All are written if it failed, was refused or was late, so that a failure
-    can be followed from its id; of the successes a sample is enough.
+    All of them are logged if the request failed, was refused or was late, so
+    that a failure can be traced by its identifier.  Successes are sampled.
     """
 
     trace_of: Callable[[int], str]
-    """The caller's identifier of a request."""
+    """Returns the caller's identifier of a request."""
 
     metrics: SteeringMetrics
-    """Counts everything, written or not."""
+    """Counts all decisions, logged or not."""
 
     clock: Callable[[], float] = time.time
     """Wall-clock time in seconds."""
 
     trails: dict[int, list[_Line]] = field(default_factory=dict)
-    """Decisions of requests under way."""
+    """Decisions of the requests in progress, by request."""
 
     limit: SecondLimit = field(default_factory=SecondLimit)
-    """What may be written."""
+    """Rate limit of the log."""
 
     def write(self, decision: Decision) -> None:
-        """Take in a decision."""
+        """Record a decision; log it now or at the end of its request."""
         self.metrics.count(decision)
         line = _Line(decision, self.clock())
-        if decision.kind in _OF_REQUESTS:
+        if decision.kind in _REQUEST_KINDS:
             self.trails.setdefault(decision.request, []).append(line)
-        elif decision.kind is _SUCCESS or decision.kind in _ENDS:
+        elif decision.kind is _SUCCESS or decision.kind in _UNSUCCESSFUL_ENDS:
             self._end(line)
-        elif self._allows(decision.kind.name, _OTHERS_PER_S, line.at):
+        elif self._allows(decision.kind.name, _MAX_OTHERS_PER_S, line.at):
             self._emit(line)
 
     def summarise(self) -> None:
-        """Say what was left out since the last summary."""
+        """Log the number of requests left out since the last summary."""
         left_out = self.limit.take_left_out()
         if left_out:
             _LOG.warning('lines-left-out', extra={'requests': left_out})
 
     def _end(self, last: _Line) -> None:
         trail = self.trails.pop(last.decision.request, [])
-        name, most = _budget(last.decision)
-        if self._allows(name, most, last.at):
+        name, maximum = _rate_limit(last.decision)
+        if self._allows(name, maximum, last.at):
             for line in (*trail, last):
                 self._emit(line)
 
-    def _allows(self, name: str, most: int, now: float) -> bool:
-        return self.limit.allows(name, most, now)
+    def _allows(self, name: str, maximum: int, now: float) -> bool:
+        return self.limit.allows(name, maximum, now)
 
     def _emit(self, line: _Line) -> None:
         decision = line.decision
@@ -138,9 +139,9 @@
         _LOG.info(decision.kind.name.lower().replace('_', '-'), extra=extra)
 
 
-def _budget(last: Decision) -> tuple[str, int]:
+def _rate_limit(last: Decision) -> tuple[str, int]:
     if last.kind is not _SUCCESS:
-        return last.kind.name, _FAILURES_PER_S
+        return last.kind.name, _MAX_FAILURES_PER_S
     if dict(last.inputs).get('late'):
-        return 'LATE', _LATE_PER_S
-    return last.kind.name, _SUCCESSES_PER_S
+        return 'LATE', _MAX_LATE_PER_S
+    return last.kind.name, _MAX_SUCCESSES_PER_S
--- a/worksrail/daemon/steered/_digests.py
+++ b/worksrail/daemon/steered/_digests.py
@@ -1,4 +1,4 @@
-"""Messages between entries: small datagrams, each of which may be lost."""
+"""Messages between entries, sent as UDP datagrams that may be lost."""
 
 import asyncio
 import socket
@@ -25,15 +25,15 @@
 from worksrail.daemon.steered._packing import pack, unpack
 
 _LOG: Final = Logger('worksrail.peers')
-# Bytes that a digest may grow to, so that no datagram can fill the memory.
-_LONGEST: Final = 1_000_000
-# Bytes of the longest datagram that IP carries.
-_LONGEST_DATAGRAM: Final = 65_536
-# Messages that are read in a row, before anything else gets its turn.
-_MOST_AT_ONCE: Final = 150
-# Seconds between two reads while messages come more densely than that, so that
-# not each of them wakes this entry up.
-_READ_PAUSE: Final = 0.02
+# Maximum size of an unpacked message, so that no datagram exhausts the memory.
+_MAX_MESSAGE_BYTES: Final = 1_000_000
+# Maximum size of an IP datagram in bytes.
+_MAX_DATAGRAM_BYTES: Final = 65_536
+# Maximum number of messages to read in a row before other tasks run.
+_MAX_READS_IN_A_ROW: Final = 150
+# Interval in seconds of reads while messages arrive more often than that, so
+# that they are read in batches instead of one wake-up for each.
+_POLL_INTERVAL: Final = 0.02
 PeerMessage = (
     EntryDigest
     | ZoneDigest
@@ -43,19 +43,19 @@
     | TokenRequest
     | TokenGrant
 )
-"""What one datagram holds."""
+"""Message in one datagram."""
 
 _DECODER: Final = msgspec.msgpack.Decoder(PeerMessage)
 
 
 def pack_message(message: PeerMessage) -> bytes:
-    """Bytes of a message, compressed if that is worth it."""
+    """Encode a message; compress it unless it is small."""
     return pack(msgspec.msgpack.encode(message))
 
 
 def unpack_message(payload: bytes) -> PeerMessage:
-    """The message in some bytes; raises ``ValueError`` if there is none."""
-    return _DECODER.decode(unpack(payload, _LONGEST))
+    """Decode a message; raise ``ValueError`` if it is malformed."""
+    return _DECODER.decode(unpack(payload, _MAX_MESSAGE_BYTES))
 
 
 @dataclass(slots=True)
@@ -63,21 +63,21 @@
     """Sends and receives messages at the peer address."""
 
     engine: SteeringEngine
-    """Takes the events."""
+    """Handles the events."""
 
     sock: socket.socket | None = None
-    """The socket, once it is open."""
+    """UDP socket, once it is open."""
 
     read_at: float = 0
-    """When messages were read last."""
+    """When messages were last read."""
 
     async def open(self, address: str) -> None:
-        """Listen at an IP number and port."""
+        """Bind to an IP address and port."""
         host, _, port = address.partition(':')
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.setblocking(False)
         self.sock.bind((host, int(port)))
-        self._await_messages()
+        self._wait_until_readable()
 
     def close(self) -> None:
         """Close the socket."""
@@ -88,67 +88,68 @@
             self.sock = None
 
     def send(self, effect: SendDigest) -> None:
-        """Send a digest to some entries."""
+        """Send a digest to other entries."""
         payload = pack_message(effect.digest)
         for receiver in effect.receivers:
             self._send(payload, receiver)
 
     def send_limit_message(self, effect: SendLimitMessage) -> None:
-        """Tell another entry of a shared limit."""
+        """Send another entry a message about a shared limit."""
         self._send(pack_message(effect.message), effect.receiver)
 
     def send_pacing_message(self, effect: SendPacingMessage) -> None:
-        """Ask another entry for tokens, or grant some."""
+        """Send another entry a request for tokens or a grant."""
         self._send(pack_message(effect.message), effect.receiver)
 
     def read(self) -> None:
-        """Take the messages that are there, now that the socket has some."""
+        """Read the pending messages when the socket becomes readable."""
         now = self.engine.now()
-        dense = now - self.read_at < _READ_PAUSE
+        frequent = now - self.read_at < _POLL_INTERVAL
         self.read_at = now
         self._read_all()
-        if dense and self.sock:
+        if frequent and self.sock:
             loop = asyncio.get_running_loop()
             loop.remove_reader(self.sock.fileno())
-            loop.call_later(_READ_PAUSE, self._poll)
+            loop.call_later(_POLL_INTERVAL, self._poll)
 
-    def _await_messages(self) -> None:
+    def _wait_until_readable(self) -> None:
         if self.sock:
             loop = asyncio.get_running_loop()
             loop.add_reader(self.sock.fileno(), self.read)
 
     def _poll(self) -> None:
-        """Look for messages from time to time, as long as there are some."""
+        """Read the pending messages; poll again until there are none."""
         if self._read_all():
             loop = asyncio.get_running_loop()
-            loop.call_later(_READ_PAUSE, self._poll)
+            loop.call_later(_POLL_INTERVAL, self._poll)
         else:
-            self._await_messages()
+            self._wait_until_readable()
 
     def _read_all(self) -> int:
-        """Take the messages that are there; gives their number."""
-        for count in range(_MOST_AT_ONCE):
+        """Read the pending messages; return their number."""
+        for count in range(_MAX_READS_IN_A_ROW):
             if not self._read_one():
                 return count
-        return _MOST_AT_ONCE
+        return _MAX_READS_IN_A_ROW
 
     def _read_one(self) -> bool:
-        """Take one message; false if there is none left."""
+        """Read one message; return false if none is pending."""
         if self.sock is None:
             return False
         try:
-            payload, (sender, _) = self.sock.recvfrom(_LONGEST_DATAGRAM)
+            payload, (sender, _) = self.sock.recvfrom(_MAX_DATAGRAM_BYTES)
         except BlockingIOError:
             return False
         except OSError as error:
-            # A datagram that was sent met nobody; the next one may.
+            # The kernel reports that an earlier datagram was not delivered; later
+            # ones may be.
             _LOG.debug('datagram failed: {}', error)
             return True
-        self._take(payload, sender)
+        self._dispatch_message(payload, sender)
         return True
 
-    def _take(self, payload: bytes, sender: str) -> None:
-        """Make an event of a message."""
+    def _dispatch_message(self, payload: bytes, sender: str) -> None:
+        """Decode a message and dispatch it as an event."""
         try:
             message = unpack_message(payload)
         except ValueError as error:
--- a/worksrail/daemon/steered/_engine.py
+++ b/worksrail/daemon/steered/_engine.py
@@ -1,4 +1,4 @@
-"""Feeds events to the reducer and runs the effects."""
+"""Passes events to the reducer and runs the effects."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -14,32 +14,32 @@
 
 @dataclass(slots=True)
 class SteeringEngine:
-    """The one place where events meet the state.
+    """Applies all events to the state, one at a time.
 
-    Effects are started before :meth:`dispatch` returns and report back by
-    events of their own, so no event is handled within another one.
+    Effects are started before :meth:`dispatch` returns and report their results
+    as later events, so no event is handled within another one.
     """
 
     state: SteeringState
-    """The state."""
+    """State of the entry."""
 
     runners: dict[type, Runner] = field(default_factory=dict)
-    """Who runs which effect."""
+    """Function that runs each type of effect."""
 
     clock: Callable[[], float] = _clock.monotonic
-    """Monotonic time in seconds; tests put their own in its place."""
+    """Monotonic clock in seconds; tests replace it."""
 
     def now(self) -> float:
-        """Monotonic time in seconds."""
+        """Return the monotonic time in seconds."""
         return self.clock()
 
     def dispatch(self, event: Event) -> None:
-        """Change the state by an event and run the effects."""
+        """Apply an event to the state and run the resulting effects."""
         for effect in reduce(self.state, event):
             self._run(effect)
 
     def tick(self) -> None:
-        """Let time pass."""
+        """Dispatch an event for the passing of time."""
         self.dispatch(Ticked(self.now()))
 
     def _run(self, effect: Effect) -> None:
--- a/worksrail/daemon/steered/_following.py
+++ b/worksrail/daemon/steered/_following.py
@@ -1,4 +1,4 @@
-"""Follows one kind of object in the store: list once, then watch."""
+"""Follows one kind of object in the store: lists it once, then watches it."""
 
 import asyncio
 import random
@@ -25,35 +25,35 @@
 from worksrail.daemon.steered._engine import SteeringEngine
 
 _LOG: Final = Logger('worksrail.store')
-# Seconds that one watch waits at the most: longer ones cost fewer calls, and
-# checks beside them notice a store that is silent.  A watch that
-# outlasts the store's history ends with nothing but the need to list anew:
-# three calls where one does.
-_WATCH_TIME: Final = 25.0
-_WATCH_SHARE_OF_HISTORY: Final = 0.8
-# Seconds that a watch waits while it is not known whether the store answers.
-# What is asked of a silent store may never be answered, also once it is back,
-# and a long watch is given up only after its whole time: on a day with a store
-# silent for 6.8 s each of nine readers began one just before its end, and no
-# entry learned of three leaving upstreams for 8 s (29 requests reached them
-# after the 2.5 s that are allowed).
-_FIRST_WATCH_TIME: Final = 0.1
-# Seconds between calls that fail, doubled each time up to the longest.  A
-# call that is turned away is paid for; one that reaches nobody is not, and
-# the return of a path should be noticed soon: what lapsed is kept for a
-# while from then on, and must be dropped before others rely on it.
-_FIRST_PAUSE: Final = 0.1
-_LONGEST_PAUSES: Final = {
+# Maximum time of one watch in seconds.  Longer watches need fewer calls, and
+# separate health checks detect a store that does not answer.  A watch that
+# outlasts the store's history must be followed by a new list: three calls
+# instead of one.
+_MAX_WATCH_TIME: Final = 25.0
+_MAX_SHARE_OF_HISTORY: Final = 0.8
+# Time in seconds of a watch while it is unknown whether the store answers.  A
+# call to a silent store may never be answered, even after the store recovers,
+# and a long watch is abandoned only after its full time.  In one run, each of
+# nine readers started a long watch shortly before the end of a silence of 6.8 s,
+# and no entry learned of three leaving upstreams for 8 s (29 requests reached
+# them after the 2.5 s that are allowed).
+_PROBE_WATCH_TIME: Final = 0.1
+# Exponential backoff of failing calls in seconds: first delay and maximum.  A
+# refused call has its cost; one that does not reach the store has none, and a
+# recovered path should be noticed soon: expired objects are kept for a while
+# from then on and must be dropped before other entries rely on them.
+_MIN_BACKOFF: Final = 0.1
+_MAX_BACKOFFS: Final = {
     StoreFault.UNREACHABLE: 0.1,
     StoreFault.CUT: 0.1,
     StoreFault.REFUSED: 0.8,
     StoreFault.MALFORMED: 0.8,
 }
-_PAUSE_SPREAD: Final = (0.7, 1.3)
-# Seconds that pass after changes before the next watch.  Upstreams come and
-# go in numbers; taking several changes with one call costs a fraction, and
-# the bound within which a leaving upstream must be noticed is seconds.
-_PACES: Final = {
+_BACKOFF_JITTER: Final = (0.7, 1.3)
+# Delay in seconds between changes and the next watch.  Upstreams come and go
+# in groups; reading several changes with one call costs a fraction, and a
+# leaving upstream need only be noticed within seconds.
+_WATCH_DELAYS: Final = {
     StoreKind.CONFIGURATION: 0,
     StoreKind.UPSTREAMS: 0.3,
     StoreKind.EVACUATIONS: 0,
@@ -65,182 +65,186 @@
 
 @dataclass(slots=True)
 class Follower:
-    """Keeps the state informed of one kind of object."""
+    """Keeps one kind of object in the state up to date with the store."""
 
     engine: SteeringEngine
-    """Takes the events."""
+    """Handles the events."""
 
     store: SteeringStore
-    """Is read."""
+    """The store to read."""
 
     kind: StoreKind
-    """What to follow."""
+    """Kind of object to follow."""
 
     revision: int | None = None
-    """Revision up to which everything is known; None before a list."""
+    """Revision from which to watch; None if a list is needed first."""
 
     answered: bool = False
-    """The store answered the last call, so that the next one may wait long."""
+    """Whether the store answered the last call, which allows a long watch."""
 
-    asked_at: float = 0
-    """When the call under way began."""
+    called_at: float = 0
+    """When the current call began."""
 
     call: asyncio.Future[_Answer] | None = None
-    """The call under way."""
+    """The current call."""
 
-    doubted: bool = False
-    """The call under way may never be answered and was given up."""
+    abandoned: bool = False
+    """Whether the current call was abandoned, as it may never be answered."""
 
-    pause: float = _FIRST_PAUSE
-    """Seconds until the next call after a failure."""
+    backoff: float = _MIN_BACKOFF
+    """Delay in seconds after the next failure."""
 
     sleep: Callable[[float], Awaitable[None]] = asyncio.sleep
-    """Waits some seconds; tests put their own in its place."""
+    """Waits some seconds; tests replace it."""
 
     turn: asyncio.Event = field(default_factory=asyncio.Event)
-    """Set while it is this entry's duty to read the store."""
+    """Set while this entry is one of those that read the store."""
 
     count_unusable: Callable[[str], object] = str
-    """Counts objects that cannot be used, by kind."""
+    """Counts objects that cannot be decoded, by kind."""
 
-    told: frozenset[str] = frozenset()
-    """Faults of the last news that had any; each is logged once."""
+    logged_faults: frozenset[str] = frozenset()
+    """Faults of the last update that had any; each is logged once."""
 
     async def run(self) -> None:
         """Follow until cancelled."""
-        self._go_on()
+        self._resume()
         while True:
             if not self.turn.is_set():
                 await self.turn.wait()
-                self._go_on()
-            news = await self._ask()
-            if isinstance(news, StoreFault):
-                await self._fail(news)
+                self._resume()
+            update = await self._call_store()
+            if isinstance(update, StoreFault):
+                await self._handle_fault(update)
             else:
-                self._take(news)
-                await self.sleep(_PACES[self.kind])
+                self._handle_update(update)
+                await self.sleep(_WATCH_DELAYS[self.kind])
 
-    def ask_anew(self) -> None:
-        """Give up the call under way; the store may have forgotten it."""
+    def restart_call(self) -> None:
+        """Abandon the current call, which the store may never answer."""
         if self.call and not self.call.done():
-            self.doubted = True
+            self.abandoned = True
             self.call.cancel()
 
     async def list_once(self) -> None:
-        """Begin with a list that may be old; others tell what came after."""
-        news = await self.store.read_all(self.kind, stale=True)
-        if isinstance(news, StoreFault):
+        """Read a stale list to start with; peers provide later changes."""
+        update = await self.store.read_all(self.kind, stale=True)
+        if isinstance(update, StoreFault):
             _LOG.info(
-                'nothing listed to begin with',
-                extra={'kind': self.kind.value, 'reason': news.value},
+                'initial list failed',
+                extra={'kind': self.kind.value, 'reason': update.value},
             )
             return
-        self._note_faults(news)
+        self._report_faults(update)
         now = self.engine.now()
-        if news.revision > self.engine.state.store_sync.revisions[self.kind]:
-            self._dispatch(news, now, listed=True)
+        if update.revision > self.engine.state.store_sync.revisions[self.kind]:
+            self._dispatch(update, now, listed=True)
 
-    def _go_on(self) -> None:
+    def _resume(self) -> None:
         self.answered = False
-        # Others have told what was new meanwhile.
+        # Peers have provided the changes in the meantime.
         known = self.engine.state.store_sync.revisions[self.kind]
         self.revision = max(self.revision or 0, known) or None
 
-    async def _ask(self) -> _Answer:
-        self.call = asyncio.ensure_future(self._next())
+    async def _call_store(self) -> _Answer:
+        self.call = asyncio.ensure_future(self._list_or_watch())
         try:
             await asyncio.wait((self.call,))
         finally:
             self.call.cancel()
-        if self.doubted:
-            self.doubted = False
-            return StoreFault.DOUBTED
+        if self.abandoned:
+            self.abandoned = False
+            return StoreFault.ABANDONED
         return self.call.result()
 
-    async def _next(self) -> _Answer:
-        self.asked_at = self.engine.now()
+    async def _list_or_watch(self) -> _Answer:
+        self.called_at = self.engine.now()
         if self.revision is None:
             return await self.store.read_all(self.kind)
-        seconds = self._watch_time() if self.answered else _FIRST_WATCH_TIME
+        seconds = self._watch_time() if self.answered else _PROBE_WATCH_TIME
         return await self.store.watch(self.kind, self.revision, seconds)
 
     def _watch_time(self) -> float:
         history = self.engine.state.settings.bounds.store_history
-        return min(_WATCH_TIME, history * _WATCH_SHARE_OF_HISTORY)
+        return min(_MAX_WATCH_TIME, history * _MAX_SHARE_OF_HISTORY)
 
-    async def _fail(self, fault: StoreFault) -> None:
+    async def _handle_fault(self, fault: StoreFault) -> None:
         if fault is StoreFault.HISTORY_GONE:
             _LOG.info(
-                'history dropped; listing anew',
+                'history dropped; listing again',
                 extra={'kind': self.kind.value, 'revision': self.revision},
             )
             self.revision = None
             return
         self.answered = False
-        if fault is StoreFault.DOUBTED:
+        if fault is StoreFault.ABANDONED:
             return
         now = self.engine.now()
-        waited = now - self.asked_at
+        waited = now - self.called_at
         self.engine.dispatch(StoreLost(now, self.kind, fault.value, waited))
-        spread = random.uniform(*_PAUSE_SPREAD)
-        await self.sleep(self.pause * spread)
-        self.pause = min(_LONGEST_PAUSES[fault], self.pause * 2)
+        jitter = random.uniform(*_BACKOFF_JITTER)
+        await self.sleep(self.backoff * jitter)
+        self.backoff = min(_MAX_BACKOFFS[fault], self.backoff * 2)
 
-    def _take(self, news: StoreUpdate) -> None:
+    def _handle_update(self, update: StoreUpdate) -> None:
         listed = self.revision is None
-        self.revision = news.revision
+        self.revision = update.revision
         self.answered = True
-        self.pause = _FIRST_PAUSE
+        self.backoff = _MIN_BACKOFF
         now = self.engine.now()
         self.engine.dispatch(StoreAnswered(now, self.kind))
-        self._note_faults(news)
+        self._report_faults(update)
         known = self.engine.state.store_sync.revisions[self.kind]
-        if news.revision < known:
-            # Others have told more meanwhile: this would take it back.
+        if update.revision < known:
+            # Peers have provided later changes, which this would revert.
             self.revision = known
-        elif listed or _tells_anything(news):
-            self._dispatch(news, now, listed=listed)
+        elif listed or _has_changes(update):
+            self._dispatch(update, now, listed=listed)
 
-    def _note_faults(self, news: StoreUpdate) -> None:
-        for fault in news.faults:
+    def _report_faults(self, update: StoreUpdate) -> None:
+        for fault in update.faults:
             self.count_unusable(self.kind.value)
-            if fault not in self.told:
+            if fault not in self.logged_faults:
                 _LOG.warning(
                     'object cannot be used',
                     extra={'kind': self.kind.value, 'problem': fault},
                 )
-        if news.faults:
-            self.told = frozenset(news.faults)
+        if update.faults:
+            self.logged_faults = frozenset(update.faults)
 
-    def _dispatch(self, news: StoreUpdate, now: float, *, listed: bool) -> None:
+    def _dispatch(
+        self, update: StoreUpdate, now: float, *, listed: bool
+    ) -> None:
         if self.kind is StoreKind.UPSTREAMS:
-            self._take_upstreams(news, now, listed=listed)
+            self._dispatch_upstreams(update, now, listed=listed)
         elif self.kind is StoreKind.EVACUATIONS:
-            self._take_zones(news, now, listed=listed)
-        elif news.configuration:
+            self._dispatch_zones(update, now, listed=listed)
+        elif update.configuration:
             self.engine.dispatch(
-                ConfigurationRead(now, news.configuration, news.revision)
+                ConfigurationRead(now, update.configuration, update.revision)
             )
 
-    def _take_upstreams(
+    def _dispatch_upstreams(
         self,
-        news: StoreUpdate,
+        update: StoreUpdate,
         now: float,
         *,
         listed: bool,
     ) -> None:
         if listed:
             self.engine.dispatch(
-                UpstreamsListed(now, news.records, news.revision)
+                UpstreamsListed(now, update.records, update.revision)
             )
         else:
             self.engine.dispatch(
-                UpstreamsChanged(now, news.records, news.removed, news.revision)
+                UpstreamsChanged(
+                    now, update.records, update.removed, update.revision
+                )
             )
 
-    def _take_zones(
+    def _dispatch_zones(
         self,
-        news: StoreUpdate,
+        update: StoreUpdate,
         now: float,
         *,
         listed: bool,
@@ -248,14 +252,14 @@
         zones: set[str] = set()
         if not listed:
             zones.update(self.engine.state.catalog.evacuated)
-        zones.difference_update(news.removed)
-        zones.update(news.zones)
+        zones.difference_update(update.removed)
+        zones.update(update.zones)
         self.engine.dispatch(
-            EvacuationsRead(now, frozenset(zones), news.revision)
+            EvacuationsRead(now, frozenset(zones), update.revision)
         )
 
 
-def _tells_anything(news: StoreUpdate) -> bool:
+def _has_changes(update: StoreUpdate) -> bool:
     return bool(
-        news.configuration or news.records or news.zones or news.removed
+        update.configuration or update.records or update.zones or update.removed
     )
--- a/worksrail/daemon/steered/_metrics.py
+++ b/worksrail/daemon/steered/_metrics.py
@@ -1,4 +1,4 @@
-"""Counters and histograms of an entry, in the format of Prometheus."""
+"""Prometheus metrics of an entry."""
 
 from dataclasses import dataclass, field
 from functools import partial
@@ -17,10 +17,10 @@
 from worksrail.core.steering import RoutingConfiguration, SteeringState
 from worksrail.core.steering.effects import Decision, DecisionKind
 
-# Customers with a series of their own; all others share one, so that any number
-# of them over their quotas makes no more.
-_MOST_CUSTOMERS: Final = 50
-_OTHERS: Final = 'others'
+# Maximum number of customers with a series of their own.  All others share one,
+# which limits the number of series.
+_MAX_CUSTOMER_SERIES: Final = 50
+_OTHER_CUSTOMERS: Final = 'others'
 _BY_SERVICE: Final = ('service',)
 
 
@@ -29,25 +29,25 @@
     """All metrics of one process."""
 
     registry: CollectorRegistry
-    """Where they are registered."""
+    """Registry of the metrics."""
 
     decisions: Counter
     """Decisions by kind."""
 
     results: Counter
-    """Ends of requests by result."""
+    """Ended requests by result."""
 
     latency: Histogram
     """Seconds from arrival to the end of the answer, by route."""
 
     store_calls: Counter
-    """Calls to the store by what was asked for."""
+    """Calls to the store by kind of object."""
 
     unusable: Counter
-    """Objects of the store that could not be used, by kind."""
+    """Objects of the store that could not be decoded, by kind."""
 
     over_quota: Counter
-    """Requests refused for a quota, by customer."""
+    """Requests refused because of a quota, by customer."""
 
     in_flight: Gauge
     """Requests of this entry in flight at upstreams, by service."""
@@ -56,53 +56,53 @@
     """Usable upstreams by service."""
 
     entries: Gauge
-    """Other entries that are alive."""
+    """Number of other entries that are alive."""
 
     version: Gauge
     """Version of the configuration in force."""
 
     store_lost: Gauge
-    """Kinds of objects whose reading fails."""
+    """Number of kinds of objects that cannot be read."""
 
     store_age: Gauge
-    """Seconds since the store is known to have answered any entry."""
+    """Seconds since the last known answer of the store to any entry."""
 
     requests_held: Gauge
-    """Requests that are held because upstreams crashed under them."""
+    """Requests held because upstreams crashed while executing them."""
 
     limited_upstreams: Gauge
-    """Upstreams that name a limit, by service."""
+    """Number of upstreams that name a rate limit, by service."""
 
     named_rate: Gauge
-    """Requests a second that these take together, by service."""
+    """Total requests per second that these accept, by service."""
 
     tokens_used: Counter
-    """Requests of this entry that went to upstreams with limits."""
+    """Requests of this entry sent to upstreams with a rate limit."""
 
     repeats: Counter
-    """Requests sent to one more upstream, by service."""
+    """Retries sent, by service."""
 
     repeats_denied: Counter
-    """Requests not sent once more, by service and reason."""
+    """Retries denied, by service and reason."""
 
     repeats_reserved: Gauge
-    """Repeats that this entry has reserved for a window, by service."""
+    """Retries that this entry reserves for a window, by service."""
 
     repeats_reserved_by_all: Gauge
-    """The same of all entries, as far as this one knows."""
+    """Retries that all known entries reserve, by service."""
 
     requests_of_all: Gauge
-    """Requests to all entries within the window, as far as this one knows."""
+    """Requests to all known entries within the window, by service."""
 
     lines_dropped: Gauge
-    """Log lines that nobody took."""
+    """Number of dropped log lines."""
 
     customers: set[str] = field(default_factory=set)
     """Customers with a series of their own."""
 
     @classmethod
     def create(cls) -> 'SteeringMetrics':
-        """Register all metrics."""
+        """Create and register all metrics."""
         registry = CollectorRegistry()
         counter = partial(Counter, registry=registry)
         gauge = partial(Gauge, registry=registry)
@@ -181,10 +181,10 @@
             self.results.labels(decision.subject).inc()
             if decision.subject == ResultCode.QUOTA_REACHED.name:
                 customer = str(dict(decision.inputs).get('customer'))
-                self.over_quota.labels(self._series_of(customer)).inc()
+                self.over_quota.labels(self._customer_label(customer)).inc()
 
     def count_unusable(self, kind: str) -> None:
-        """Count an object that cannot be used."""
+        """Count an object that cannot be decoded."""
         self.unusable.labels(kind).inc()
 
     def count_call(self, kind: str) -> None:
@@ -192,19 +192,19 @@
         self.store_calls.labels(kind).inc()
 
     def render(self, state: SteeringState, now: float, dropped: int) -> bytes:
-        """Bring the gauges up to date and give the text."""
-        self._show_services(state)
+        """Update the gauges and return the metrics as text."""
+        self._update_services(state)
         self.entries.set(len(state.fleet.alive(now)))
         self.store_lost.set(len(state.failing_kinds))
         age = state.catalog.store_health.age(now)
         self.store_age.set(inf if age is None else age)
         self.requests_held.set(state.quarantine.count_held(now))
-        self._show_limits(state)
-        self._show_budgets(state, now)
+        self._update_limits(state)
+        self._update_budgets(state, now)
         self.lines_dropped.set(dropped)
         return generate_latest(self.registry)
 
-    def _show_services(self, state: SteeringState) -> None:
+    def _update_services(self, state: SteeringState) -> None:
         configuration = state.configuration
         if isinstance(configuration, RoutingConfiguration):
             self.version.set(configuration.version)
@@ -214,7 +214,7 @@
                 sum(state.loads.of(found.name).own for found in usable)
             )
 
-    def _show_limits(self, state: SteeringState) -> None:
+    def _update_limits(self, state: SteeringState) -> None:
         pacer = state.rates.named
         for service, usable in state.catalog.services.items():
             rates = [pacer.rate_of(found.name) for found in usable]
@@ -223,17 +223,17 @@
             self.named_rate.labels(service).set(sum(named))
         self.tokens_used.inc(pacer.take_used())
 
-    def _show_budgets(self, state: SteeringState, now: float) -> None:
+    def _update_budgets(self, state: SteeringState, now: float) -> None:
         for service in tuple(state.budgets.budgets):
             use = state.budgets.fleet_use(service, now)
             self.repeats_reserved.labels(service).set(use.own)
             self.repeats_reserved_by_all.labels(service).set(use.total.reserved)
             self.requests_of_all.labels(service).set(use.total.requests)
 
-    def _series_of(self, customer: str) -> str:
-        if len(self.customers) < _MOST_CUSTOMERS:
+    def _customer_label(self, customer: str) -> str:
+        if len(self.customers) < _MAX_CUSTOMER_SERIES:
             self.customers.add(customer)
-        return customer if customer in self.customers else _OTHERS
+        return customer if customer in self.customers else _OTHER_CUSTOMERS
 
 
 def _service_of(decision: Decision) -> str:
--- a/worksrail/daemon/steered/_packing.py
+++ b/worksrail/daemon/steered/_packing.py
@@ -1,39 +1,39 @@
-"""Bytes that entries send each other, compressed where that is worth it."""
+"""Compression of messages between entries."""
 
 import zlib
 from typing import Final
 
-# Bytes from which a payload is compressed: what entries tell names the same
-# zones, ports and prefixes many times over, and much of it crosses regions.
-_WORTH_COMPRESSING: Final = 400
-# Fastest level: it takes tens of microseconds for a digest.
+# Minimum size in bytes of a payload to compress.  Messages repeat the same
+# zones, ports and prefixes many times, and many of them cross regions.
+_MIN_COMPRESSED_SIZE: Final = 400
+# Fastest level: a digest takes tens of microseconds.
 _LEVEL: Final = 1
-# What compressed payloads begin with; plain ones begin with an array's mark.
-_COMPRESSED: Final = b'x'
+# First byte of zlib data; a plain payload begins with a MessagePack array.
+_ZLIB_PREFIX: Final = b'x'
 
 
 def pack(payload: bytes) -> bytes:
-    """Compress a payload if that is worth it."""
-    if len(payload) < _WORTH_COMPRESSING:
+    """Compress a payload unless it is small."""
+    if len(payload) < _MIN_COMPRESSED_SIZE:
         return payload
     return zlib.compress(payload, _LEVEL)
 
 
-def unpack(packed: bytes, longest: int) -> bytes:
-    """The payload, cut at a length so that none can fill the memory.
+def unpack(packed: bytes, max_size: int) -> bytes:
+    """Decompress a payload, truncated so that it cannot exhaust the memory.
 
-    Raises ``ValueError`` if it is not what :func:`pack` makes.
+    Raise ``ValueError`` if it is not a result of :func:`pack`.
 
     >>> unpack(pack(bytes(1000)), 2000) == bytes(1000)
     True
     """
-    if not packed.startswith(_COMPRESSED):
+    if not packed.startswith(_ZLIB_PREFIX):
         return packed
     unpacker = zlib.decompressobj()
     try:
-        payload = unpacker.decompress(packed, longest)
+        payload = unpacker.decompress(packed, max_size)
     except zlib.error as error:
         raise ValueError(f'expected compressed bytes: {error}') from error
-    if len(payload) < longest and not unpacker.eof:
+    if len(payload) < max_size and not unpacker.eof:
         raise ValueError('expected compressed bytes up to their end')
     return payload
--- a/worksrail/daemon/steered/_peers.py
+++ b/worksrail/daemon/steered/_peers.py
@@ -1,4 +1,4 @@
-"""News of the store between entries, over HTTP on the peer address."""
+"""Transfer of store updates between entries, over HTTP at the peer address."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -25,24 +25,24 @@
 
 _LOG: Final = Logger('worksrail.peers')
 _PATH: Final = '/news'
-_NEWS_TYPE: Final = 'application/msgpack'
+_CONTENT_TYPE: Final = 'application/msgpack'
 _DECODER: Final = msgspec.msgpack.Decoder(StoreUpdate)
 _OK: Final = 200
-# Bytes that news may grow to: 100,000 upstreams are told in half of it.
-_LONGEST: Final = 20_000_000
-# Seconds for an answer; another entry is asked after it.
+# Maximum size of an update in bytes; 100,000 upstreams take half of it.
+_MAX_UPDATE_BYTES: Final = 20_000_000
+# Timeout in seconds, after which another entry is asked.
 _TIMEOUT: Final = 1.0
 
 
 @dataclass(slots=True)
 class NewsHandler:
-    """Tells other entries what this one knows of the store."""
+    """Serves store updates to other entries."""
 
     engine: SteeringEngine
-    """Knows."""
+    """Holds the state."""
 
     def arrived(self, exchange: Exchange) -> None:
-        """Answer with what is new since the revision that is named."""
+        """Answer with the changes since the requested revision."""
         url = urlsplit(exchange.start.path)
         if url.path != _PATH:
             exchange.answer_result(ResultCode.UNKNOWN_ROUTE)
@@ -55,51 +55,51 @@
             exchange.answer_result(ResultCode.MALFORMED_REQUEST)
             return
         engine = self.engine
-        news = store_update_since(engine.state, kind, since, engine.now())
-        payload = pack(msgspec.msgpack.encode(news))
-        exchange.answer_document(payload, _NEWS_TYPE)
+        update = store_update_since(engine.state, kind, since, engine.now())
+        payload = pack(msgspec.msgpack.encode(update))
+        exchange.answer_document(payload, _CONTENT_TYPE)
 
     def caller_gone(self, exchange: Exchange) -> None:
-        """Nothing is under way that could be cut off."""
+        """Do nothing: requests are answered at once."""
 
 
 @dataclass(slots=True)
 class NewsClient:
-    """Asks other entries for news."""
+    """Fetches store updates from other entries."""
 
     engine: SteeringEngine
-    """Takes the events."""
+    """Handles the events."""
 
     pool: ConnectionPool
     """Connections to other entries."""
 
     tasks: set[asyncio.Task[None]] = field(default_factory=set)
-    """Calls under way."""
+    """Calls in progress."""
 
     def fetch(self, effect: FetchStoreUpdate) -> None:
-        """Ask another entry; an event follows in any case."""
+        """Fetch an update and dispatch an event with the result."""
         task = asyncio.ensure_future(self._fetch(effect))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def _fetch(self, effect: FetchStoreUpdate) -> None:
-        news = await self._ask(effect)
+        update = await self._call(effect)
         now = self.engine.now()
-        if news is None:
+        if update is None:
             self.engine.dispatch(
                 StoreUpdateFailed(now, effect.kind, effect.peer)
             )
         else:
             self.engine.dispatch(
-                StoreUpdateFetched(now, effect.kind, effect.peer, news)
+                StoreUpdateFetched(now, effect.kind, effect.peer, update)
             )
 
-    async def _ask(self, effect: FetchStoreUpdate) -> StoreUpdate | None:
+    async def _call(self, effect: FetchStoreUpdate) -> StoreUpdate | None:
         collector = CollectedAnswer()
         attempt = HttpAttempt(
             self.pool,
             self.engine.now,
-            self._outgoing(effect),
+            self._build_request(effect),
             BodyStream.from_bytes(b''),
             collector,
         )
@@ -107,14 +107,15 @@
         if report.end is not AttemptEnd.WHOLE or collector.status != _OK:
             return None
         try:
-            return _DECODER.decode(unpack(collector.body, _LONGEST))
+            return _DECODER.decode(unpack(collector.body, _MAX_UPDATE_BYTES))
         except ValueError as error:
             _LOG.warning(
-                'malformed news', extra={'peer': effect.peer, 'why': str(error)}
+                'malformed store update',
+                extra={'peer': effect.peer, 'why': str(error)},
             )
             return None
 
-    def _outgoing(self, effect: FetchStoreUpdate) -> Outgoing:
+    def _build_request(self, effect: FetchStoreUpdate) -> Outgoing:
         query = urlencode({'kind': effect.kind.value, 'since': effect.since})
         return Outgoing(
             effect.peer,
--- a/worksrail/daemon/steered/_ports.py
+++ b/worksrail/daemon/steered/_ports.py
@@ -1,4 +1,4 @@
-"""The ports that are asked for readiness, entries and metrics."""
+"""Handlers for readiness checks, look-ups of entries and metrics."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -17,56 +17,56 @@
 
 @dataclass(slots=True)
 class ReadinessHandler:
-    """Answers whether this entry takes requests."""
+    """Answers whether this entry accepts requests."""
 
     engine: SteeringEngine
-    """Knows."""
+    """Holds the state."""
 
     dialect: RequestDialect
-    """Reads the question."""
+    """Parses the target."""
 
     def arrived(self, exchange: Exchange) -> None:
-        """Answer."""
+        """Answer a request."""
         state = self.engine.state
-        asked = self.dialect.is_readiness_check(exchange.start.path)
-        if asked and state.leaving:
+        is_check = self.dialect.is_readiness_check(exchange.start.path)
+        if is_check and state.leaving:
             exchange.answer_result(ResultCode.ENTRY_LEAVING)
-        elif asked and state.ready:
+        elif is_check and state.ready:
             exchange.answer_document(b'{"ready": true}\n')
-        elif asked:
+        elif is_check:
             exchange.answer_result(ResultCode.NOT_READY)
         else:
             exchange.answer_result(ResultCode.UNKNOWN_ROUTE)
 
     def caller_gone(self, exchange: Exchange) -> None:
-        """Nothing is under way that could be cut off."""
+        """Do nothing: requests are answered at once."""
 
 
 @dataclass(slots=True)
 class LookUpHandler:
-    """Answers which entries callers shall use."""
+    """Answers which entries callers should use."""
 
     engine: SteeringEngine
-    """Knows."""
+    """Holds the state."""
 
     dialect: RequestDialect
-    """Reads the question."""
+    """Parses the target."""
 
     def arrived(self, exchange: Exchange) -> None:
-        """Answer."""
-        asked = self.dialect.read_look_up(exchange.start.path)
-        if asked is None:
+        """Answer a request."""
+        query = self.dialect.read_look_up(exchange.start.path)
+        if query is None:
             exchange.answer_result(ResultCode.UNKNOWN_ROUTE)
             return
         engine = self.engine
-        found = look_up(engine.state, asked.region, asked.zone, engine.now())
+        found = look_up(engine.state, query.region, query.zone, engine.now())
         if isinstance(found, ResultCode):
             exchange.answer_result(found)
         else:
             exchange.answer_document(self.dialect.render_entries(found))
 
     def caller_gone(self, exchange: Exchange) -> None:
-        """Nothing is under way that could be cut off."""
+        """Do nothing: requests are answered at once."""
 
 
 @dataclass(slots=True)
@@ -74,16 +74,16 @@
     """Answers with the metrics."""
 
     engine: SteeringEngine
-    """Has the state."""
+    """Holds the state."""
 
     metrics: SteeringMetrics
     """Counters and gauges."""
 
     sink: LineSink
-    """Knows the dropped log lines."""
+    """Counts the dropped log lines."""
 
     def arrived(self, exchange: Exchange) -> None:
-        """Answer."""
+        """Answer a request."""
         if exchange.start.path != METRICS_PATH:
             exchange.answer_result(ResultCode.UNKNOWN_ROUTE)
             return
@@ -93,4 +93,4 @@
         exchange.answer_document(text, _METRICS_TYPE)
 
     def caller_gone(self, exchange: Exchange) -> None:
-        """Nothing is under way that could be cut off."""
+        """Do nothing: requests are answered at once."""
--- a/worksrail/daemon/steered/_requests.py
+++ b/worksrail/daemon/steered/_requests.py
@@ -1,4 +1,4 @@
-"""Runs the effects that concern requests of callers."""
+"""Runs the effects on callers' requests."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -34,9 +34,9 @@
 from worksrail.daemon.steered._adapter import Adapter, UpstreamAnswer
 from worksrail.daemon.steered._engine import SteeringEngine
 
-_HTTP: Final = 'HTTP/1.1'
+_HTTP_VERSION: Final = 'HTTP/1.1'
 
-_OUTCOMES: Final = {
+_OUTCOME_BY_END: Final = {
     AttemptEnd.NOT_SENT: AttemptOutcome.NOT_CONNECTED,
     AttemptEnd.WHOLE: AttemptOutcome.ANSWERED,
     AttemptEnd.NO_ANSWER: AttemptOutcome.BROKE_BEFORE_ANSWER,
@@ -50,25 +50,25 @@
 
 @dataclass(slots=True)
 class SteeredSink:
-    """Takes the answer of one attempt and decides whose it is."""
+    """Receives the answer of one attempt and checks whose it is."""
 
     exchange: Exchange
-    """The request."""
+    """The exchange with the caller."""
 
     adapter: Adapter
-    """Reads the answer."""
+    """Parses the answer."""
 
     clock: Callable[[], float]
-    """Monotonic time in seconds."""
+    """Monotonic clock in seconds."""
 
     answer: UpstreamAnswer | None = None
-    """What the head of the last answer said."""
+    """Head of the last answer to this request."""
 
     answered_at: float = 0
-    """When that head was read."""
+    """When that head was received."""
 
     def judge(self, status: int, headers: httputil.HTTPHeaders) -> AnswerUse:
-        """Whether an answer is to this request, and whose body it has."""
+        """Decide by its head what to do with an answer."""
         answer = self.adapter.upstreams.read_answer(status, headers)
         refused = not answer.executed or answer.misdirected
         if answer.trace != self.exchange.trace:
@@ -83,9 +83,9 @@
         return AnswerUse.REJECT if answer.altered else AnswerUse.PASS_ON
 
     def named_limit(self) -> NamedLimit | None:
-        """What the answer says of its upstream's limit.
+        """Return the limit that the answer names for its upstream.
 
-        Another upstream at the address speaks for itself only.
+        An answer of another upstream at the address is ignored.
         """
         if self.answer is None or self.answer.misdirected:
             return None
@@ -96,38 +96,38 @@
         start: httputil.ResponseStartLine,
         headers: httputil.HTTPHeaders,
     ) -> None:
-        """Pass on the head of the answer."""
+        """Forward the head of the answer."""
         await self.exchange.start_answer(start, headers)
 
     async def write(self, chunk: bytes) -> None:
-        """Pass on a part of its body."""
+        """Forward a chunk of the body."""
         await self.exchange.write(chunk)
 
     def end(self) -> None:
-        """The answer was read whole."""
+        """End the exchange after a complete answer."""
         self.exchange.end()
 
 
 @dataclass(slots=True)
 class SteeredRequests:
-    """The exchanges that are under way, by the number of their arrival."""
+    """Exchanges with callers in progress and the effects on them."""
 
     engine: SteeringEngine
-    """Takes the events."""
+    """Handles the events."""
 
     adapter: Adapter
-    """Translates headers."""
+    """Translators of the platform."""
 
     upstreams: ConnectionPool
     """Connections to upstreams."""
 
     exchanges: dict[int, Exchange] = field(default_factory=dict)
-    """Exchanges under way."""
+    """Exchanges in progress, by the number of the request."""
 
     # -- events
 
     def arrived(self, exchange: Exchange) -> None:
-        """Make an event of a request."""
+        """Dispatch an event for a new request."""
         exchange.closing = self.engine.state.leaving
         head = self.adapter.callers.read_head(
             exchange.start.method, exchange.start.path, exchange.headers
@@ -146,7 +146,7 @@
         )
 
     def caller_gone(self, exchange: Exchange) -> None:
-        """Make an event of a caller's leaving."""
+        """Dispatch an event for a closed connection of a caller."""
         if exchange.number in self.exchanges:
             self.engine.dispatch(CallerGone(self.engine.now(), exchange.number))
 
@@ -165,7 +165,7 @@
             exchange.answer_result(effect.code, effect.retry_after)
 
     def cancel(self, effect: CancelAttempt) -> None:
-        """Cut off the attempt that is under way."""
+        """Cancel the attempt in progress."""
         exchange = self.exchanges.get(effect.request)
         if exchange:
             exchange.cancel()
@@ -175,7 +175,7 @@
         self.upstreams.drop(effect.address)
 
     def trace_of(self, number: int) -> str:
-        """The caller's identifier of a request."""
+        """Return the caller's identifier of a request."""
         exchange = self.exchanges.get(number)
         return exchange.trace if exchange else ''
 
@@ -190,7 +190,7 @@
         attempt = HttpAttempt(
             self.upstreams,
             self.engine.now,
-            self._outgoing(exchange, effect),
+            self._build_request(exchange, effect),
             exchange.body,
             sink,
         )
@@ -206,14 +206,14 @@
             report.status,
             sink.answer.load if sink.answer else None,
             report.connect_time,
-            _rewound(exchange),
+            _rewind_body(exchange),
             sink.named_limit(),
         )
         self.engine.dispatch(event)
         if effect.request not in self.engine.state.requests:
             self.exchanges.pop(effect.request, None)
 
-    def _outgoing(
+    def _build_request(
         self,
         exchange: Exchange,
         effect: SendUpstream,
@@ -231,7 +231,7 @@
             effect.customer,
         )
         start = httputil.RequestStartLine(
-            exchange.start.method, exchange.start.path, _HTTP
+            exchange.start.method, exchange.start.path, _HTTP_VERSION
         )
         return Outgoing(
             effect.address,
@@ -252,10 +252,10 @@
             return AttemptOutcome.OTHER_UPSTREAM
         if not answer.executed:
             return AttemptOutcome.NOT_EXECUTED
-    return _OUTCOMES[report.end]
+    return _OUTCOME_BY_END[report.end]
 
 
-def _rewound(exchange: Exchange) -> bool:
+def _rewind_body(exchange: Exchange) -> bool:
     if exchange.begun or not exchange.body.replayable:
         return False
     exchange.body.rewind()
--- a/worksrail/platform/_entry.py
+++ b/worksrail/platform/_entry.py
@@ -4,7 +4,7 @@
 
 from worksrail.core.steering import EntrySettings
 from worksrail.daemon.steered import Adapter, serve
-from worksrail.daemon.steered._adapter import SettingsFaultError
+from worksrail.daemon.steered._adapter import InvalidSettingsError
 from worksrail.platform._dialect import PlatformCallers, PlatformUpstreams
 from worksrail.platform._fields import MalformedDocumentError
 from worksrail.platform._settings import read_settings, settings_path
@@ -30,4 +30,4 @@
     try:
         return read_settings(settings_path())
     except MalformedDocumentError as error:
-        raise SettingsFaultError(str(error)) from error
+        raise InvalidSettingsError(str(error)) from error
--- a/worksrail/platform/_store.py
+++ b/worksrail/platform/_store.py
@@ -20,7 +20,7 @@
 from worksrail.daemon.http._body import BodyStream
 from worksrail.daemon.http._collected import CollectedAnswer
 from worksrail.daemon.http._connections import ConnectionPool
-from worksrail.daemon.steered import ANSWER_TIME, StoreFault
+from worksrail.daemon.steered import ANSWER_TIMEOUT, StoreFault
 from worksrail.platform import _names as names
 from worksrail.platform._fields import Fields, MalformedDocumentError
 from worksrail.platform._objects import decode_configuration, decode_upstream
@@ -150,7 +150,7 @@
         kind: StoreKind,
         *,
         stale: bool = False,
-        seconds: float = ANSWER_TIME,
+        seconds: float = ANSWER_TIMEOUT,
     ) -> StoreUpdate | StoreFault:
         """Read all objects of a kind, page by page.
 
@@ -182,7 +182,7 @@
             'Watch': str(since),
             'WaitMs': str(int(seconds * _MILLISECONDS)),
         }
-        answer = await self._call(kind, query, seconds + ANSWER_TIME)
+        answer = await self._call(kind, query, seconds + ANSWER_TIMEOUT)
         if isinstance(answer, StoreFault):
             return answer
         builder = _UpdateBuilder(kind)
