--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -1,4 +1,4 @@
-"""Documents of the platform, decoded or turned down."""
+"""Decoding of the platform's documents, and rejection of malformed ones."""
 
 import copy
 import json
@@ -163,49 +163,49 @@
     assert unknown is NoCustomer.UNKNOWN_KEY
 
 
-def test_without_customers_nobody_needs_a_key() -> None:
+def test_without_customers_no_key_is_required() -> None:
     assert decode_configuration(CONFIGURATION).customers is None
     none = decode_configuration(_with_customers()).customers
     assert none is not None
     assert not none.customers
 
 
-_SECRET = 'a-very-secret-key'
+_API_KEY = 'a-very-secret-key'
 
 
 @pytest.mark.parametrize(
     'rows',
     [
-        [['a', [_SECRET], 0, 1, 1, []], ['b', [_SECRET], 0, 1, 1, []]],
-        [['a', [_SECRET], 0, -1, 1, []]],
-        [['a', [_SECRET], 0, 1, -1, []]],
-        [['a', [_SECRET], 0, float('nan'), 1, []]],
-        [['a', [_SECRET], 'first', 1, 1, []]],
-        [['a', [_SECRET, 7], 0, 1, 1, []]],
-        [['a', _SECRET, 0, 1, 1, []]],
-        [['', [_SECRET], 0, 1, 1, []]],
-        [['a', [_SECRET]]],
+        [['a', [_API_KEY], 0, 1, 1, []], ['b', [_API_KEY], 0, 1, 1, []]],
+        [['a', [_API_KEY], 0, -1, 1, []]],
+        [['a', [_API_KEY], 0, 1, -1, []]],
+        [['a', [_API_KEY], 0, float('nan'), 1, []]],
+        [['a', [_API_KEY], 'first', 1, 1, []]],
+        [['a', [_API_KEY, 7], 0, 1, 1, []]],
+        [['a', _API_KEY, 0, 1, 1, []]],
+        [['', [_API_KEY], 0, 1, 1, []]],
+        [['a', [_API_KEY]]],
     ],
 )
-def test_malformed_customers_are_turned_down_without_a_word_of_keys(
+def test_error_for_malformed_customers_does_not_contain_their_keys(
     rows: list[list[Any]],
 ) -> None:
     with pytest.raises(MalformedDocumentError) as raised:
         decode_configuration(_with_customers(*rows))
-    assert _SECRET not in str(raised.value)
+    assert _API_KEY not in str(raised.value)
 
 
-def test_keys_are_kept_nowhere() -> None:
+def test_decoded_documents_do_not_contain_keys() -> None:
     decoded = decode_configuration(
-        _with_customers(['a', [_SECRET], 0, 1, 1, []])
+        _with_customers(['a', [_API_KEY], 0, 1, 1, []])
     )
-    assert _SECRET not in repr(decoded)
-    assert _SECRET.encode() not in msgspec.msgpack.encode(decoded)
-    headers = HTTPHeaders({'Credential': _SECRET})
+    assert _API_KEY not in repr(decoded)
+    assert _API_KEY.encode() not in msgspec.msgpack.encode(decoded)
+    headers = HTTPHeaders({'Credential': _API_KEY})
     head = PlatformCallers().read_head('GET', '/x', headers)
     assert head is not None
-    assert _SECRET not in repr(head)
-    assert head.key_digest == digest_of_key(_SECRET.encode())
+    assert _API_KEY not in repr(head)
+    assert head.key_digest == digest_of_key(_API_KEY.encode())
 
 
 def test_public_route() -> None:
@@ -225,8 +225,12 @@
 
 
 @pytest.mark.parametrize('customer', ['acme', ''])
-def test_upstream_is_told_the_customer_and_no_key(customer: str) -> None:
-    headers = HTTPHeaders({'credential': _SECRET, 'tenant': 'forged', 'A': 'b'})
+def test_request_to_upstream_names_the_customer_but_not_the_key(
+    customer: str,
+) -> None:
+    headers = HTTPHeaders(
+        {'credential': _API_KEY, 'tenant': 'forged', 'A': 'b'}
+    )
     headers.add('Tenant', 'forged twice')
     PlatformUpstreams().mark_request(headers, 'i-1', 1.5, customer)
     assert 'Credential' not in headers
@@ -240,25 +244,25 @@
 
 _MALFORMED = {
     'no version': (['Version'], None),
-    'odd version': (['Version'], '7'),
-    'cut short': (['Routes', 'Rows', 0], ['w', 'h']),
+    'invalid version': (['Version'], '7'),
+    'too few values': (['Routes', 'Rows', 0], ['w', 'h']),
     'no rows': (['Routes', 'Rows'], None),
     'unknown service': _row('Service', 'nobody'),
-    'odd kind': _row('RouteType', 'mostly'),
+    'unknown route type': _row('RouteType', 'mostly'),
     'no prefix': _row('PathPrefix', ''),
-    'odd prefix': _row('PathPrefix', 'w'),
+    'prefix without slashes': _row('PathPrefix', 'w'),
     'no weight': (['Routes', 'Rows', 1, 11], [{'Service': 'a'}]),
-    'weights of nothing': (
+    'zero weights': (
         ['Routes', 'Rows', 1, 11],
         [{'Service': 'a', 'Weight': 0}],
     ),
     'no limits': (['Limits'], None),
-    'not a table': ([], 'text'),
+    'not an object': ([], 'text'),
 }
 
 
 @pytest.mark.parametrize('fault', _MALFORMED)
-def test_malformed_configuration_is_turned_down(fault: str) -> None:
+def test_malformed_configuration_is_rejected(fault: str) -> None:
     path, found = _MALFORMED[fault]
     document: Any = copy.deepcopy(CONFIGURATION)
     target = document
@@ -273,21 +277,21 @@
 
 
 @pytest.mark.parametrize('text', ['', 'r', '12', 'rx', 'r-1', 'r1.5'])
-def test_odd_versions(text: str) -> None:
+def test_invalid_versions(text: str) -> None:
     with pytest.raises(MalformedDocumentError):
         decode_version(text)
 
 
-@pytest.mark.parametrize('beside', [True, False])
-def test_upstream(beside: bool) -> None:
+@pytest.mark.parametrize('status_in_spec', [True, False])
+def test_upstream(status_in_spec: bool) -> None:
     status = {'State': 'draining', 'Sequence': 4, 'ColdRemainingS': 1.5}
     spec: dict[str, Any] = {
         'Address': '10.0.0.9:80',
         'Info': {'Service': 'a', 'Version': 'v1', 'Zone': 'z1', 'Slots': 9},
     }
-    if beside:
+    if status_in_spec:
         spec['Status'] = status
-    record = decode_upstream('i-1', spec, None if beside else status)
+    record = decode_upstream('i-1', spec, None if status_in_spec else status)
     assert record.draining
     assert (record.slots, record.sequence, record.cold_time) == (9, 4, 1.5)
 
@@ -318,7 +322,7 @@
     ('Status', 'Sequence'),
     ('Status', 'ColdRemainingS'),
 )
-_WRONG: dict[str, Any] = {
+_MALFORMED_VALUES: dict[str, Any] = {
     'absent': ...,
     'null': None,
     'list': [],
@@ -330,20 +334,24 @@
 }
 
 
-@pytest.mark.parametrize('fault', _WRONG)
+@pytest.mark.parametrize('fault', _MALFORMED_VALUES)
 @pytest.mark.parametrize('path', _FIELDS, ids='.'.join)
-def test_upstream_of_another_writer(path: tuple[str, ...], fault: str) -> None:
-    wrong = _WRONG[fault]
+def test_malformed_field_of_upstream(path: tuple[str, ...], fault: str) -> None:
+    malformed = _MALFORMED_VALUES[fault]
     spec: Any = _upstream()
     part = spec
     for step in path[:-1]:
         part = part[step]
-    if wrong is ...:
+    if malformed is ...:
         part.pop(path[-1])
     else:
-        part[path[-1]] = wrong
-    if isinstance(wrong, str) and path[-1] in {'Service', 'Version', 'Zone'}:
-        # A text that only the configuration can judge.
+        part[path[-1]] = malformed
+    if isinstance(malformed, str) and path[-1] in {
+        'Service',
+        'Version',
+        'Zone',
+    }:
+        # Any string is valid here; unknown names are found later.
         decode_upstream('i-1', spec, None)
         return
     with pytest.raises(MalformedDocumentError):
@@ -351,7 +359,7 @@
 
 
 @pytest.mark.parametrize('state', ['warming', 'Ready', 'READY', 'gone', ''])
-def test_state_that_is_not_named(state: str) -> None:
+def test_unknown_state(state: str) -> None:
     spec = _upstream()
     spec['Status']['State'] = state
     with pytest.raises(MalformedDocumentError):
@@ -362,28 +370,36 @@
     'address',
     ['10.0.0.9', ':80', '10.0.0.9:', '10.0.0.9:x', '10.0.0.9:0', 'a:99999'],
 )
-def test_address_that_leads_nowhere(address: str) -> None:
+def test_invalid_address(address: str) -> None:
     with pytest.raises(MalformedDocumentError):
         decode_upstream('i-1', _upstream() | {'Address': address}, None)
 
 
 @pytest.mark.parametrize('slots', [0, -3, 2.5])
-def test_upstream_without_slots(slots: float) -> None:
+def test_invalid_number_of_slots(slots: float) -> None:
     spec = _upstream()
     spec['Info']['Slots'] = slots
     with pytest.raises(MalformedDocumentError):
         decode_upstream('i-1', spec, None)
 
 
-def test_upstream_that_tells_its_start() -> None:
-    untold = decode_upstream('i-1', _upstream(), None)
-    told = decode_upstream('i-1', _upstream() | {'born': 17}, None)
-    assert (untold.name, untold.discovery_id, untold.born) == ('i-1', 'i-1', 0)
-    assert (told.name, told.discovery_id, told.born) == ('i-1@17', 'i-1', 17)
+def test_upstream_with_start_time() -> None:
+    without_start = decode_upstream('i-1', _upstream(), None)
+    started = decode_upstream('i-1', _upstream() | {'born': 17}, None)
+    assert (
+        without_start.name,
+        without_start.discovery_id,
+        without_start.born,
+    ) == ('i-1', 'i-1', 0)
+    assert (started.name, started.discovery_id, started.born) == (
+        'i-1@17',
+        'i-1',
+        17,
+    )
 
 
 @pytest.mark.parametrize('born', ['17', 1.5, True, -1])
-def test_start_of_another_type(born: Any) -> None:
+def test_malformed_start_time(born: Any) -> None:
     with pytest.raises(MalformedDocumentError):
         decode_upstream('i-1', _upstream() | {'born': born}, None)
 
@@ -405,7 +421,7 @@
         ({}, b'z1,z2'),
     ],
 )
-def test_key_of_fingerprints(environment: dict[str, str], key: bytes) -> None:
+def test_fingerprint_key(environment: dict[str, str], key: bytes) -> None:
     assert decode_settings(SETTINGS, environment).fingerprint_key == key
 
 
@@ -420,7 +436,7 @@
 
 
 @pytest.mark.parametrize('cut', [0, 1, 40, -1])
-def test_settings_half_written(tmp_path: Path, cut: int) -> None:
+def test_truncated_settings_file(tmp_path: Path, cut: int) -> None:
     path = tmp_path / 'node.json'
     path.write_text(json.dumps(SETTINGS)[:cut])
     with pytest.raises(MalformedDocumentError):
@@ -436,7 +452,7 @@
         ({}, None, ''),
     ],
 )
-def test_head(
+def test_request_head(
     headers: dict[str, str], time_left: float | None, key: str
 ) -> None:
     head = PlatformCallers().read_head('GET', '/x', HTTPHeaders(headers))
@@ -444,7 +460,7 @@
     assert (head.time_left, head.key) == (time_left, key)
 
 
-def test_malformed_deadline_is_told() -> None:
+def test_malformed_deadline_is_rejected() -> None:
     headers = HTTPHeaders({'Deadline-Ms': 'soon'})
     assert PlatformCallers().read_head('GET', '/x', headers) is None
 
@@ -468,7 +484,7 @@
         (200, {'Server-Load': '3,x'}, True, False, False, None),
     ],
 )
-def test_answer(
+def test_answer_head(
     status: int,
     headers: dict[str, str],
     executed: bool,
@@ -506,7 +522,7 @@
     ],
 )
 @pytest.mark.parametrize('status', [200, 429, 503])
-def test_limit_that_an_answer_names(
+def test_rate_limit_of_an_answer(
     status: int,
     texts: list[str],
     rate: float | NoRate,
--- a/tests/platform/test_metrics.py
+++ b/tests/platform/test_metrics.py
@@ -1,4 +1,4 @@
-"""What an entry counts."""
+"""Metrics of an entry."""
 
 import pytest
 
@@ -19,7 +19,7 @@
     )
 
 
-def _series(metrics: SteeringMetrics) -> dict[str, float]:
+def _refusals_by_customer(metrics: SteeringMetrics) -> dict[str, float]:
     return {
         sample.labels['customer']: sample.value
         for family in metrics.over_quota.collect()
@@ -33,21 +33,21 @@
     for customer in ('a', 'b', 'a'):
         metrics.count(_refused(customer))
     metrics.count(_refused('a', 'QUEUE_FULL'))
-    assert _series(metrics) == {'a': 2, 'b': 1}
+    assert _refusals_by_customer(metrics) == {'a': 2, 'b': 1}
 
 
 @pytest.mark.parametrize('count', [51, 2000])
-def test_many_customers_make_no_more_series(count: int) -> None:
+def test_number_of_customer_series_is_limited(count: int) -> None:
     metrics = SteeringMetrics.create()
     for number in range(count):
         metrics.count(_refused(f'c{number}'))
-    series = _series(metrics)
+    series = _refusals_by_customer(metrics)
     assert len(series) == 51
     assert series['others'] == count - 50
     assert sum(series.values()) == count
 
 
-def test_unusable_objects_are_counted_by_kind() -> None:
+def test_undecodable_objects_are_counted_by_kind() -> None:
     metrics = SteeringMetrics.create()
     metrics.count_unusable('upstreams')
     (family,) = metrics.unusable.collect()
@@ -58,17 +58,17 @@
     ] == [({'kind': 'upstreams'}, 1)]
 
 
-def test_held_requests_are_shown() -> None:
+def test_held_requests_are_exported() -> None:
     world = World((route('read'),), [upstream('1')])
     for number in range(3):
         crash = Crash(str(number), world.state.quarantine.begin(7, world.now))
         world.state.quarantine.record_crash(7, crash, world.now)
     metrics = SteeringMetrics.create()
-    shown = metrics.render(world.state, world.now, 0).decode()
-    assert 'worksrail_requests_held 1.0' in shown
+    exported = metrics.render(world.state, world.now, 0).decode()
+    assert 'worksrail_requests_held 1.0' in exported
 
 
-def test_named_limits_are_shown() -> None:
+def test_named_limits_are_exported() -> None:
     world = World((route('read'),), [upstream('1'), upstream('2')])
     world.state.rates.named.limits.note('1', NamedLimit(5, world.now))
     metrics = SteeringMetrics.create()
@@ -88,7 +88,7 @@
         ),
     ],
 )
-def test_repeats_and_what_all_entries_reserve_are_shown(
+def test_retries_and_reservations_of_all_entries_are_exported(
     extra: float, reserved: int, counted: str
 ) -> None:
     bounds = SteeringBounds(repeat_ratio=0, repeat_extra=extra)
@@ -96,16 +96,16 @@
         (route('read'),), [upstream('1'), upstream('2')], bounds=bounds
     )
     metrics = SteeringMetrics.create()
-    told = AdvertisedBudgets(
+    advertised = AdvertisedBudgets(
         10, {'orders': BudgetUse((0, 0, 0, 0, 50), reserved=4)}
     )
-    world.state.budgets.receive(Incarnation('two', 1), told, world.now)
+    world.state.budgets.receive(Incarnation('two', 1), advertised, world.now)
     number = world.ask()
     for effect in world.end(number, AttemptOutcome.NOT_EXECUTED):
         if isinstance(effect, Decision):
             metrics.count(effect)
-    shown = metrics.render(world.state, world.now, 0).decode()
+    exported = metrics.render(world.state, world.now, 0).decode()
     by_all = f'worksrail_repeats_reserved_by_all{{service="orders"}} {reserved}'
-    assert by_all in shown
-    assert 'worksrail_requests_of_all{service="orders"} 50.0' in shown
-    assert counted in shown
+    assert by_all in exported
+    assert 'worksrail_requests_of_all{service="orders"} 50.0' in exported
+    assert counted in exported
--- a/tests/platform/test_names.py
+++ b/tests/platform/test_names.py
@@ -1,4 +1,4 @@
-"""All that knows the platform stays in one folder."""
+"""Names of the platform are used in one package only."""
 
 import re
 from pathlib import Path
@@ -9,10 +9,12 @@
 
 _ROOT = Path(_names.__file__).parents[1]
 _ADAPTER = _ROOT / 'platform'
-_TYPES = ('_objects.py', '_settings.py', '_store.py', '_dialect.py')
-_FIELD = re.compile(r"'([A-Z][A-Za-z]+(?:-[A-Z][A-Za-z]+)*|[a-z]+S?_max_s)'")
-# Ordinary words and headers that HTTP itself has.
-_ORDINARY = frozenset(
+_MODULES = ('_objects.py', '_settings.py', '_store.py', '_dialect.py')
+_FIELD_NAME = re.compile(
+    r"'([A-Z][A-Za-z]+(?:-[A-Z][A-Za-z]+)*|[a-z]+S?_max_s)'"
+)
+# Common words and standard HTTP headers.
+_COMMON_NAMES = frozenset(
     (
         'Name',
         'Host',
@@ -35,18 +37,20 @@
 )
 
 
-def _names_of_the_platform() -> set[str]:
+def _platform_names() -> set[str]:
     constants = {
         text for text in vars(_names).values() if isinstance(text, str)
     }
     found = {text for text in constants if re.match(r'[A-Z/]', text)}
-    for name in _TYPES:
-        found.update(_FIELD.findall((_ADAPTER / name).read_text()))
-    return {text for text in found if '/' in text or len(text) > 3} - _ORDINARY
+    for name in _MODULES:
+        found.update(_FIELD_NAME.findall((_ADAPTER / name).read_text()))
+    return {
+        text for text in found if '/' in text or len(text) > 3
+    } - _COMMON_NAMES
 
 
-def test_the_list_of_names_is_a_real_one() -> None:
-    names = _names_of_the_platform()
+def test_names_of_the_platform_are_found() -> None:
+    names = _platform_names()
     for known in (
         'Deadline-Ms',
         'TrafficSplit',
@@ -62,18 +66,18 @@
     [
         path
         for path in _ROOT.rglob('*.py')
-        # The stand-in speaks the platform's language: it is the platform.
+        # The stand-in of the store implements the platform's protocol.
         if _ADAPTER not in path.parents
         and '_pb2' not in path.name
         and path != _ROOT / 'standins' / 'objects.py'
     ],
     ids=lambda path: str(path.relative_to(_ROOT)),
 )
-def test_no_other_module_knows_them(path: Path) -> None:
+def test_no_other_module_contains_them(path: Path) -> None:
     text = path.read_text()
     known = {
         name
-        for name in _names_of_the_platform()
+        for name in _platform_names()
         if f"'{name}'" in text or f'"{name}"' in text
     }
     assert not known
@@ -82,7 +86,7 @@
 @pytest.mark.parametrize(
     'path', sorted(_ADAPTER.glob('*.py')), ids=lambda path: path.name
 )
-def test_the_adapter_decides_nothing(path: Path) -> None:
+def test_adapter_makes_no_decisions(path: Path) -> None:
     text = path.read_text()
     for word in ('asyncio.sleep', 'call_later', 'random', 'retries', 'backoff'):
         assert word not in text
--- a/tests/platform/test_packing.py
+++ b/tests/platform/test_packing.py
@@ -1,4 +1,4 @@
-"""What entries send each other is small, and anything else is turned down."""
+"""Compression of messages between entries, and rejection of invalid data."""
 
 import msgspec
 import pytest
@@ -9,13 +9,13 @@
 
 
 @pytest.mark.parametrize('size', [0, 10, 399, 400, 100_000])
-def test_payload_comes_back(size: int) -> None:
+def test_payload_round_trip(size: int) -> None:
     payload = b'\x93' + bytes(size)
     assert unpack(pack(payload), 1_000_000) == payload
 
 
-def test_news_of_many_upstreams_are_small() -> None:
-    # A link of 10 Mbit/s needs 0.2 s for those of 3,000 upstreams as they are.
+def test_update_of_many_upstreams_is_small() -> None:
+    # A link of 10 Mbit/s takes 0.2 s for 3,000 uncompressed upstreams.
     records = tuple(
         upstream(
             f'i-{number * 2654435761 % 2**40:010x}',
@@ -35,5 +35,5 @@
         unpack(packed, 100)
 
 
-def test_payload_is_cut_at_its_longest() -> None:
+def test_payload_is_truncated_at_the_maximum_size() -> None:
     assert len(unpack(pack(bytes(100_000)), 1000)) == 1000
--- a/tests/platform/test_starting.py
+++ b/tests/platform/test_starting.py
@@ -1,16 +1,14 @@
-"""What programs do before they have loaded their modules.
+"""Signals that arrive while a program loads its modules.
 
-What callers saw: an entry that was started again got SIGHUP 0.15 s later and
-ended (exit -1), so it served nobody until it was started once more; nothing in
-its log told why.  An entry that was told to stop at that time ended with -15.
+Signals had their default action until the event loop handled them, 0.2 s or
+more after the start: SIGHUP 0.15 s after a restart ended an entry (exit code
+-1, nothing in the log), and SIGTERM ended it with -15.  It served no requests
+until it was started again.
 
-The cause: signals had their default action until the event loop took them, and
-0.2 s and more pass before that.
-
-What proved it: the soak's seed 1796267376 sends that SIGHUP, and broke RECOVERY
-three times of three; with a signal sent 50 ms after the start and later nothing
-ends any more.  The interpreter's own start, before the first line of code, is
-not covered by this.
+Seed 1796267376 of the soak test sends that SIGHUP and broke RECOVERY in three
+of three runs; since then a signal from 50 ms after the start on ends no
+process.  The start of the interpreter, before the first line of code, is not
+covered.
 """
 
 import subprocess
@@ -18,8 +16,8 @@
 
 import pytest
 
-# Loads a program with a stand-in for everything that it loads, which sends
-# the process a signal in the middle of that.
+# Runs a program with a stub of the module that it loads.  The stub sends the
+# process a signal.
 _PROGRAM = """
 import os, runpy, signal, sys, types
 
@@ -30,20 +28,20 @@
 """
 
 
-def _ended(program: str, loaded: str, function: str, name: str) -> int:
+def _exit_code(program: str, loaded: str, function: str, name: str) -> int:
     text = _PROGRAM.format(
         program=program, loaded=loaded, function=function, name=name
     )
     return subprocess.run([sys.executable, '-c', text], check=False).returncode
 
 
-def test_entry_that_is_told_to_reload_while_it_loads_goes_on() -> None:
-    # The soak's seed 1796267376: an entry that was started again got SIGHUP
-    # 0.15 s later and ended (exit -1); nothing in its log told why.
-    ended = _ended(
+def test_entry_survives_sighup_while_it_loads() -> None:
+    # Seed 1796267376 of the soak test: SIGHUP 0.15 s after a restart ended the
+    # entry (exit code -1) without a log line.
+    exit_code = _exit_code(
         'worksrail.platform', 'worksrail.platform._entry', 'run', 'SIGHUP'
     )
-    assert ended == 0
+    assert exit_code == 0
 
 
 @pytest.mark.parametrize(
@@ -54,7 +52,7 @@
     ],
 )
 @pytest.mark.parametrize('name', ['SIGHUP', 'SIGTERM'])
-def test_signals_wait_while_a_program_loads(
+def test_signals_are_deferred_while_a_program_loads(
     program: str, loaded: str, function: str, name: str
 ) -> None:
-    assert _ended(program, loaded, function, name) == 0
+    assert _exit_code(program, loaded, function, name) == 0
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""The adapter's store client against the stand-in of the store."""
+"""The platform's store client against a stand-in of the store."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -19,13 +19,13 @@
 
 
 def entry(name: str, state: str = 'ready', sequence: int = 1) -> Any:
-    """Description and status of an upstream's entry."""
+    """Return the spec and the status of an upstream's entry."""
     description = {'Service': 'a', 'Version': 'v1', 'Zone': 'z1', 'Slots': 3}
     spec = {'Address': f'10.0.0.1:80{name}', 'Info': description}
     return spec, {'State': state, 'Sequence': sequence, 'ColdRemainingS': 0}
 
 
-def _run(use: Callable[[ObjectStore, PlatformStore], Awaitable[Any]]) -> Any:
+def _run(call: Callable[[ObjectStore, PlatformStore], Awaitable[Any]]) -> Any:
     async def run() -> Any:
         store = ObjectStore(page=3)
         server = HTTPServer(application(store))
@@ -35,7 +35,7 @@
         client = PlatformStore(f'127.0.0.1:{port}', calls.append)
         try:
             async with asyncio.timeout(30):
-                return await use(store, client)
+                return await call(store, client)
         finally:
             client.pool.close()
             server.stop()
@@ -44,22 +44,22 @@
 
 
 @pytest.mark.parametrize('count', [0, 1, 3, 4, 7])
-def test_list_of_all_pages(count: int) -> None:
-    async def use(store: ObjectStore, client: PlatformStore) -> Any:
+def test_list_contains_all_pages(count: int) -> None:
+    async def call(store: ObjectStore, client: PlatformStore) -> Any:
         for number in range(count):
             store.put('servers', str(number), *entry(str(number)))
         return await client.read_all(StoreKind.UPSTREAMS), store.revision
 
-    news, revision = _run(use)
-    assert isinstance(news, StoreUpdate)
-    assert [record.name for record in news.records] == [
+    update, revision = _run(call)
+    assert isinstance(update, StoreUpdate)
+    assert [record.name for record in update.records] == [
         str(number) for number in range(count)
     ]
-    assert news.revision == revision
+    assert update.revision == revision
 
 
-def test_stale_list_leads_to_what_is_known_now() -> None:
-    async def use(store: ObjectStore, client: PlatformStore) -> Any:
+def test_watch_after_a_stale_list_returns_later_changes() -> None:
+    async def call(store: ObjectStore, client: PlatformStore) -> Any:
         store.put('servers', '1', *entry('1'))
         store.hold_replica()
         store.put('servers', '2', *entry('2'))
@@ -69,13 +69,13 @@
         since = await client.watch(StoreKind.UPSTREAMS, old.revision, 20)
         return old, since
 
-    old, since = _run(use)
+    old, since = _run(call)
     assert [record.name for record in old.records] == ['1']
     assert [record.name for record in since.records] == ['2']
     assert since.removed == ('1',)
 
 
-def test_list_is_as_old_as_its_oldest_page() -> None:
+def test_revision_of_a_list_is_that_of_its_oldest_page() -> None:
     # Pages of a stale list may come from replicas of different age.
     builder = _UpdateBuilder(StoreKind.EVACUATIONS)
     for revision in (9, 4, 7):
@@ -84,8 +84,8 @@
     assert builder.build().revision == 4
 
 
-def test_watch_tells_changes_and_goes_on() -> None:
-    async def use(store: ObjectStore, client: PlatformStore) -> Any:
+def test_successive_watches_return_successive_changes() -> None:
+    async def call(store: ObjectStore, client: PlatformStore) -> Any:
         store.put('servers', '1', *entry('1'))
         listed = await client.read_all(StoreKind.UPSTREAMS)
         assert isinstance(listed, StoreUpdate)
@@ -100,20 +100,20 @@
         second = await client.watch(StoreKind.UPSTREAMS, first.revision, 20)
         return first, second
 
-    first, second = _run(use)
+    first, second = _run(call)
     assert [record.draining for record in first.records] == [True]
     assert second.removed == ('1',)
 
 
-def test_watch_without_change_ends() -> None:
-    async def use(store: ObjectStore, client: PlatformStore) -> Any:
+def test_watch_without_changes_times_out() -> None:
+    async def call(store: ObjectStore, client: PlatformStore) -> Any:
         return await client.watch(StoreKind.EVACUATIONS, 0, 0.05)
 
-    assert _run(use) == StoreUpdate(0)
+    assert _run(call) == StoreUpdate(0)
 
 
-def test_watch_that_waits_hears_of_a_silence_only_after_it() -> None:
-    async def use(store: ObjectStore, client: PlatformStore) -> Any:
+def test_waiting_watch_is_answered_after_a_silence_of_the_store() -> None:
+    async def call(store: ObjectStore, client: PlatformStore) -> Any:
         store.put('evacuations', 'z1', {})
         watch = asyncio.ensure_future(
             client.watch(StoreKind.EVACUATIONS, store.revision, 20)
@@ -126,16 +126,16 @@
         store.mood = StoreMood.WELL
         return await watch
 
-    assert _run(use).removed == ('z1',)
+    assert _run(call).removed == ('z1',)
 
 
-def test_dropped_history_is_told() -> None:
-    async def use(store: ObjectStore, client: PlatformStore) -> Any:
+def test_dropped_history_is_reported() -> None:
+    async def call(store: ObjectStore, client: PlatformStore) -> Any:
         store.put('evacuations', 'z1', {})
         store.drop_history()
         return await client.watch(StoreKind.EVACUATIONS, 0, 20)
 
-    assert _run(use) is StoreFault.HISTORY_GONE
+    assert _run(call) is StoreFault.HISTORY_GONE
 
 
 @pytest.mark.parametrize(
@@ -148,19 +148,19 @@
     ],
 )
 def test_store_that_does_not_serve(mood: StoreMood, fault: StoreFault) -> None:
-    async def use(store: ObjectStore, client: PlatformStore) -> Any:
+    async def call(store: ObjectStore, client: PlatformStore) -> Any:
         store.mood = mood
         return await client.read_all(StoreKind.CONFIGURATION)
 
-    assert _run(use) is fault
+    assert _run(call) is fault
 
 
-def test_store_that_is_not_there() -> None:
-    async def use(store: ObjectStore, client: PlatformStore) -> Any:
+def test_unreachable_store() -> None:
+    async def call(store: ObjectStore, client: PlatformStore) -> Any:
         client.address = '127.0.0.1:1'
         return await client.read_all(StoreKind.CONFIGURATION)
 
-    assert _run(use) is StoreFault.UNREACHABLE
+    assert _run(call) is StoreFault.UNREACHABLE
 
 
 @pytest.mark.parametrize(
@@ -171,62 +171,60 @@
         ('servers', 'i-1', {'Address': 'x'}),
     ],
 )
-def test_object_that_makes_no_sense_is_a_fault(
-    kind: str, name: str, spec: Any
-) -> None:
+def test_malformed_object_is_a_fault(kind: str, name: str, spec: Any) -> None:
     kinds = {
         'config': StoreKind.CONFIGURATION,
         'servers': StoreKind.UPSTREAMS,
     }
 
-    async def use(store: ObjectStore, client: PlatformStore) -> Any:
+    async def call(store: ObjectStore, client: PlatformStore) -> Any:
         store.put(kind, name, spec)
         return await client.read_all(kinds[kind])
 
-    news = _run(use)
-    assert isinstance(news, StoreUpdate)
-    assert len(news.faults) == 1
-    assert not news.records
-    assert news.configuration is None
+    update = _run(call)
+    assert isinstance(update, StoreUpdate)
+    assert len(update.faults) == 1
+    assert not update.records
+    assert update.configuration is None
 
 
-_UNUSABLE = {
-    'nothing': (None, None),
-    'a text': ('\ufffd', None),
+_UNUSABLE_ENTRIES = {
+    'no spec': (None, None),
+    'a string': ('\ufffd', None),
     'no status': ({'Address': '10.0.0.1:1', 'Info': {}}, None),
-    'another state': entry('5', state='warming'),
-    'an unreadable address': (entry('5')[0] | {'Address': '\x00'}, None),
+    'unknown state': entry('5', state='warming'),
+    'invalid address': (entry('5')[0] | {'Address': '\x00'}, None),
 }
 
 
-@pytest.mark.parametrize('fault', _UNUSABLE)
-def test_unusable_entry_among_good_ones(fault: str) -> None:
-    async def use(store: ObjectStore, client: PlatformStore) -> Any:
+@pytest.mark.parametrize('fault', _UNUSABLE_ENTRIES)
+def test_unusable_entries_among_usable_ones(fault: str) -> None:
+    async def call(store: ObjectStore, client: PlatformStore) -> Any:
         for name in ('1', '2', '3', '4', '6'):
             store.put('servers', name, *entry(name))
-        # The last one of a page, which the next page follows.
-        store.put('servers', '3', *_UNUSABLE[fault])
-        store.put('servers', '5', *_UNUSABLE[fault])
+        # The last entry of a page, whose name the next page continues from.
+        store.put('servers', '3', *_UNUSABLE_ENTRIES[fault])
+        store.put('servers', '5', *_UNUSABLE_ENTRIES[fault])
         return await client.read_all(StoreKind.UPSTREAMS)
 
-    news = _run(use)
-    assert [record.name for record in news.records] == ['1', '2', '4', '6']
-    assert len(news.faults) == 2
+    update = _run(call)
+    assert [record.name for record in update.records] == ['1', '2', '4', '6']
+    assert len(update.faults) == 2
 
 
-@pytest.mark.parametrize('fault', _UNUSABLE)
-def test_entry_that_becomes_unusable_is_withdrawn(fault: str) -> None:
-    async def use(store: ObjectStore, client: PlatformStore) -> Any:
+@pytest.mark.parametrize('fault', _UNUSABLE_ENTRIES)
+def test_entry_that_becomes_unusable_is_removed(fault: str) -> None:
+    async def call(store: ObjectStore, client: PlatformStore) -> Any:
         store.put('servers', '1', *entry('1'))
         store.put('servers', '2', *entry('2'))
         since = store.revision
-        store.put('servers', '1', *_UNUSABLE[fault])
+        store.put('servers', '1', *_UNUSABLE_ENTRIES[fault])
         return await client.watch(StoreKind.UPSTREAMS, since, 20)
 
-    news = _run(use)
-    assert news.removed == ('1',)
-    assert not news.records
-    assert len(news.faults) == 1
+    update = _run(call)
+    assert update.removed == ('1',)
+    assert not update.records
+    assert len(update.faults) == 1
 
 
 @pytest.mark.parametrize(
@@ -239,10 +237,10 @@
         ('+?-', (), ('1',)),
     ],
 )
-def test_last_change_of_an_entry_counts(
+def test_last_change_of_an_entry_wins(
     changes: str, listed: tuple[str, ...], removed: tuple[str, ...]
 ) -> None:
-    async def use(store: ObjectStore, client: PlatformStore) -> Any:
+    async def call(store: ObjectStore, client: PlatformStore) -> Any:
         store.put('servers', '1', *entry('1'))
         since = store.revision
         for number, change in enumerate(changes, 2):
@@ -251,23 +249,23 @@
             elif change == '+':
                 store.put('servers', '1', *entry('1', sequence=number))
             else:
-                store.put('servers', '1', *_UNUSABLE['another state'])
+                store.put('servers', '1', *_UNUSABLE_ENTRIES['unknown state'])
         return await client.watch(StoreKind.UPSTREAMS, since, 20)
 
-    news = _run(use)
-    assert tuple(record.name for record in news.records) == listed
-    assert news.removed == removed
+    update = _run(call)
+    assert tuple(record.name for record in update.records) == listed
+    assert update.removed == removed
 
 
-def test_zone_that_is_taken_back_at_once_is_not_evacuated() -> None:
-    async def use(store: ObjectStore, client: PlatformStore) -> Any:
+def test_evacuation_that_is_removed_in_the_same_watch_is_ignored() -> None:
+    async def call(store: ObjectStore, client: PlatformStore) -> Any:
         store.put('evacuations', 'z1', {})
         store.remove('evacuations', 'z1')
         return await client.watch(StoreKind.EVACUATIONS, 0, 20)
 
-    news = _run(use)
-    assert not news.zones
-    assert news.removed == ('z1',)
+    update = _run(call)
+    assert not update.zones
+    assert update.removed == ('z1',)
 
 
 @pytest.mark.parametrize(
@@ -278,7 +276,7 @@
         b'{"items": [7, "x", null], "AsOf": 3, "HasMore": false}',
     ],
 )
-def test_unreadable_bytes_are_no_fault_of_the_store(body: bytes) -> None:
+def test_page_with_undecodable_bytes_is_accepted(body: bytes) -> None:
     page = Fields.from_value(_parse_json(body), 'page')
     builder = _UpdateBuilder(StoreKind.UPSTREAMS)
     assert not builder.add_page(page)
@@ -286,11 +284,11 @@
 
 
 def test_configuration_is_read() -> None:
-    async def use(store: ObjectStore, client: PlatformStore) -> Any:
+    async def call(store: ObjectStore, client: PlatformStore) -> Any:
         store.put('config', 'other', {})
         store.put('config', 'main', CONFIGURATION)
         return await client.read_all(StoreKind.CONFIGURATION)
 
-    news = _run(use)
-    assert news.configuration.version == 7
-    assert not news.faults
+    update = _run(call)
+    assert update.configuration.version == 7
+    assert not update.faults
--- a/tests/platform/test_upstream_faults.py
+++ b/tests/platform/test_upstream_faults.py
@@ -1,4 +1,4 @@
-"""Answers of upstreams, whole and spoiled, passed on over real sockets."""
+"""Forwarding of valid and invalid answers of upstreams over real sockets."""
 
 import asyncio
 import itertools
@@ -51,7 +51,7 @@
 
 
 class Entry:
-    """One entry in this process, its clock real and its store empty."""
+    """An entry in this process with a real clock and no store."""
 
     def __init__(self, *upstreams: RawUpstream) -> None:
         """Route all requests to the upstreams."""
@@ -90,7 +90,7 @@
         self.engine.dispatch(EvacuationsRead(now, frozenset()))
 
     def open(self) -> int:
-        """Listen at a free port; gives it."""
+        """Listen on a free port; return it."""
         self.server.listen(0, '127.0.0.1')
         sockets = self.server._sockets.values()
         return int(next(iter(sockets)).getsockname()[1])
@@ -117,19 +117,19 @@
     while True:
         line = await reader.readline()
         if not line:
-            raise ConnectionError('the answer was cut')
+            raise ConnectionError('the answer was truncated')
         size = int(line, 16)
         body += (await reader.readexactly(size + 2))[:-2]
         if not size:
             return status, head.decode(), body
 
 
-async def _ask_all(
+async def _send_all(
     script: Callable[[int, str], Reply],
     names: tuple[str, ...],
     method: str = 'GET',
 ) -> tuple[list[tuple[int, str, bytes] | None], RawUpstream]:
-    """Send requests one after the other on one connection of a caller."""
+    """Send requests in sequence on one connection of a caller."""
     raw = await RawUpstream(script).open()
     entry = Entry(raw)
     port = entry.open()
@@ -143,7 +143,7 @@
         except (asyncio.IncompleteReadError, ConnectionError):
             answers.append(None)
             break
-        # What comes beyond an answer has time to arrive.
+        # Leave time for surplus bytes to arrive.
         await asyncio.sleep(0.05)
     writer.close()
     entry.server.stop()
@@ -155,14 +155,14 @@
     names: tuple[str, ...],
     method: str = 'GET',
 ) -> tuple[list[tuple[int, str, bytes] | None], RawUpstream]:
-    return asyncio.run(_ask_all(script, names, method))
+    return asyncio.run(_send_all(script, names, method))
 
 
 def _statuses(answers: list[tuple[int, str, bytes] | None]) -> list[int]:
     return [found[0] if found else 0 for found in answers]
 
 
-def test_request_and_answer_pass_unchanged() -> None:
+def test_request_and_answer_are_forwarded_unchanged() -> None:
     answers, raw = _run(
         lambda number, trace: Reply(answer(trace, extra='X-Own: 1\r\n')),
         ('write', 'write'),
@@ -184,9 +184,9 @@
     assert raw.connections == 1
 
 
-# What the upstream writes to the first request, what the caller gets for a
-# request that may be repeated and for one that may not; the second request
-# of the caller always succeeds.
+# The upstream's reply to its first request, and the status that the caller gets
+# if the request may be executed more than once and if it may not.  Later
+# requests to the upstream succeed.
 _SPOILED = {
     'no http': (lambda trace: Reply(b'garbage\r\n\r\n', close=True), 200, 502),
     'closed': (lambda trace: Reply(b'', close=True), 200, 502),
@@ -259,7 +259,7 @@
         assert len(counts) == 1
 
 
-def test_extra_answer_meets_no_other_request() -> None:
+def test_surplus_answer_is_not_used_for_another_request() -> None:
     answers, raw = _run(
         lambda number, trace: Reply(answer(trace) + answer(trace, 'more')),
         ('write', 'write', 'write'),
@@ -268,7 +268,7 @@
     assert raw.connections == 3
 
 
-def test_late_answer_of_another_request_is_passed_over() -> None:
+def test_late_answer_of_another_request_is_skipped() -> None:
     def script(number: int, trace: str) -> Reply:
         late = answer('t1', 'late') if number == 2 else b''
         return Reply(late + answer(trace))
@@ -305,7 +305,7 @@
 
 
 @pytest.mark.parametrize('kind', _LIMIT_ANSWERS)
-def test_limit_is_taken_from_the_upstreams_own_answer(kind: str) -> None:
+def test_only_the_upstreams_own_answer_sets_its_limit(kind: str) -> None:
     payload, rate = _LIMIT_ANSWERS[kind]
 
     async def run() -> Entry:
@@ -323,15 +323,15 @@
 
     entry = asyncio.run(run())
     assert entry.engine.state.rates.named.rate_of('i-0') == rate
-    told = [
-        one
-        for one in entry.notes
-        if one.kind is DecisionKind.UPSTREAM_LIMIT_UNREADABLE
+    warnings = [
+        note
+        for note in entry.notes
+        if note.kind is DecisionKind.UPSTREAM_LIMIT_UNREADABLE
     ]
-    assert bool(told) is (kind == 'unreadable')
+    assert bool(warnings) is (kind == 'unreadable')
 
 
-def test_limit_in_an_answer_is_passed_on_to_the_caller() -> None:
+def test_limit_in_an_answer_is_forwarded_to_the_caller() -> None:
     answers, _ = _run(
         lambda number, trace: Reply(answer(trace, extra=_LIMIT)), ('read',)
     )
@@ -339,7 +339,7 @@
     assert _LIMIT in answers[0][1]
 
 
-def test_cut_answer_does_not_look_whole() -> None:
+def test_truncated_answer_is_not_completed() -> None:
     answers, _ = _run(
         lambda number, trace: Reply(answer(trace)[:-2], close=True), ('read',)
     )
@@ -347,19 +347,19 @@
 
 
 @pytest.mark.parametrize(('reset', 'status'), [(False, 200), (True, 0)])
-def test_answer_that_ends_with_its_connection(reset: bool, status: int) -> None:
+def test_answer_delimited_by_connection_close(reset: bool, status: int) -> None:
     def script(number: int, trace: str) -> Reply:
         head = f'HTTP/1.1 200 OK\r\nRequest-Id: {trace}\r\n\r\n'
         return Reply(head.encode() + b'x' * 300, close=not reset, reset=reset)
 
     answers, _ = _run(script, ('load',))
-    # A reset may overtake the head; then the request is sent once more.
+    # A reset may arrive before the head is read; then the request is retried.
     assert _statuses(answers) in ([status], [502] if reset else [status])
     if status and answers[0]:
         assert answers[0][2] == b'x' * 300
 
 
-def test_answer_that_can_have_no_body() -> None:
+def test_answer_without_body() -> None:
     answers, _ = _run(
         lambda number, trace: Reply(
             f'HTTP/1.1 204 No\r\nRequest-Id: {trace}\r\n\r\n'.encode()
@@ -369,7 +369,7 @@
     assert _statuses(answers) == [204]
 
 
-def test_failure_of_the_upstream_keeps_its_status() -> None:
+def test_error_status_of_the_upstream_is_forwarded() -> None:
     answers, _ = _run(
         lambda number, trace: Reply(
             f'HTTP/1.1 500 No\r\nRequest-Id: {trace}\r\n'
@@ -385,7 +385,7 @@
 @pytest.mark.parametrize(
     ('chunked', 'method'), [(True, 'POST'), (False, 'POST'), (False, 'DELETE')]
 )
-def test_body_arrives_unchanged(chunked: bool, method: str) -> None:
+def test_body_is_forwarded_unchanged(chunked: bool, method: str) -> None:
     async def run() -> bytes:
         raw = await RawUpstream(
             lambda number, trace: Reply(answer(trace))
@@ -412,7 +412,9 @@
 
 
 @pytest.mark.parametrize(('name', 'dropped'), [('read', 1), ('write', 0)])
-def test_caller_that_leaves_frees_its_upstream(name: str, dropped: int) -> None:
+def test_caller_that_disconnects_cancels_its_attempt(
+    name: str, dropped: int
+) -> None:
     async def run() -> int:
         raw = await RawUpstream(lambda number, trace: Reply(b'')).open()
         entry = Entry(raw)
@@ -431,7 +433,7 @@
     assert asyncio.run(run()) == dropped
 
 
-def test_leaving_entry_answers_and_closes() -> None:
+def test_leaving_entry_answers_and_closes_the_connection() -> None:
     async def run() -> str:
         raw = await RawUpstream(
             lambda number, trace: Reply(answer(trace))
--- a/tests/platform/upstream.py
+++ b/tests/platform/upstream.py
@@ -1,4 +1,4 @@
-"""A raw upstream that says exactly what a test wants, on loopback."""
+"""An upstream on loopback that writes the raw bytes of a script."""
 
 import asyncio
 import re
@@ -12,7 +12,7 @@
 
 
 def answer(trace: str, body: str = 'done', extra: str = '') -> bytes:
-    """A whole answer to a request."""
+    """Return a complete answer to a request."""
     return (
         f'HTTP/1.1 200 OK\r\nRequest-Id: {trace}\r\n'
         f'Response-Signature: s\r\n{extra}'
@@ -22,45 +22,45 @@
 
 @dataclass
 class Reply:
-    """What to write for one request, and how to end."""
+    """The reaction to one request."""
 
     payload: bytes
     """Bytes to write."""
 
     close: bool = False
-    """Close the connection afterwards."""
+    """Whether to close the connection afterwards."""
 
     reset: bool = False
-    """Reset it instead."""
+    """Whether to reset the connection afterwards."""
 
 
 @dataclass
 class RawUpstream:
-    """Answers the n-th request with what the script says."""
+    """Answers each request with the reply that a script returns."""
 
     script: Callable[[int, str], Reply]
-    """Makes the reply from the number and id of a request."""
+    """Returns the reply to a request, given its number and identifier."""
 
     heads: list[bytes] = field(default_factory=list)
-    """Heads of all requests so far."""
+    """Heads of the received requests."""
 
     bodies: list[bytes] = field(default_factory=list)
-    """Bodies of all requests so far."""
+    """Bodies of the received requests."""
 
     connections: int = 0
-    """Connections so far."""
+    """Number of accepted connections."""
 
     dropped: int = 0
-    """Connections that the other side closed."""
+    """Number of connections that the peer closed."""
 
     address: str = ''
-    """IP number and port."""
+    """IP address and port."""
 
     server: asyncio.Server | None = None
-    """Listens."""
+    """Listening server, once it is open."""
 
     async def open(self) -> 'RawUpstream':
-        """Listen at a free port."""
+        """Listen on a free port."""
         self.server = await asyncio.start_server(self._serve, '127.0.0.1', 0)
         host, port = self.server.sockets[0].getsockname()[:2]
         self.address = f'{host}:{port}'
@@ -73,14 +73,14 @@
     ) -> None:
         self.connections += 1
         try:
-            while await self._one(reader, writer):
+            while await self._serve_request(reader, writer):
                 pass
         except (asyncio.IncompleteReadError, ConnectionError):
             self.dropped += 1
         finally:
             writer.close()
 
-    async def _one(
+    async def _serve_request(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
@@ -96,7 +96,7 @@
         writer.write(reply.payload)
         await writer.drain()
         if reply.reset:
-            # Without linger, closing sends a reset.
+            # With a linger time of zero, closing sends a reset.
             connection = writer.get_extra_info('socket')
             connection.setsockopt(
                 socket.SOL_SOCKET, socket.SO_LINGER, struct.pack('ii', 1, 0)
--- a/worksrail/daemon/steered/_daemon.py
+++ b/worksrail/daemon/steered/_daemon.py
@@ -174,7 +174,7 @@
             SendDigest: self.digests.send,
             SendLimitMessage: self.digests.send_limit_message,
             SendPacingMessage: self.digests.send_pacing_message,
-            WatchStore: self.set_watching,
+            WatchStore: self.follow,
             ListStore: self.list_store,
             CheckStore: self.check_store,
             RestartStoreCalls: self.restart_calls,
@@ -183,7 +183,7 @@
             ExitProcess: lambda _: self.stopped.set(),
         }
 
-    def set_watching(self, effect: WatchStore) -> None:
+    def follow(self, effect: WatchStore) -> None:
         """Start or stop watching the store."""
         if effect.active:
             self.turn.set()
--- a/worksrail/daemon/steered/_digests.py
+++ b/worksrail/daemon/steered/_digests.py
@@ -141,8 +141,8 @@
         except BlockingIOError:
             return False
         except OSError as error:
-            # The kernel reports that an earlier datagram was not delivered; later
-            # ones may be.
+            # The kernel reports that an earlier datagram was not delivered;
+            # later ones may be.
             _LOG.debug('datagram failed: {}', error)
             return True
         self._dispatch_message(payload, sender)
--- a/worksrail/daemon/steered/_following.py
+++ b/worksrail/daemon/steered/_following.py
@@ -34,9 +34,9 @@
 # Time in seconds of a watch while it is unknown whether the store answers.  A
 # call to a silent store may never be answered, even after the store recovers,
 # and a long watch is abandoned only after its full time.  In one run, each of
-# nine readers started a long watch shortly before the end of a silence of 6.8 s,
-# and no entry learned of three leaving upstreams for 8 s (29 requests reached
-# them after the 2.5 s that are allowed).
+# nine readers started a long watch shortly before the end of a silence of
+# 6.8 s, and no entry learned of three leaving upstreams for 8 s (29 requests
+# reached them after the 2.5 s that are allowed).
 _PROBE_WATCH_TIME: Final = 0.1
 # Exponential backoff of failing calls in seconds: first delay and maximum.  A
 # refused call has its cost; one that does not reach the store has none, and a
--- a/worksrail/daemon/steered/_ports.py
+++ b/worksrail/daemon/steered/_ports.py
@@ -28,12 +28,12 @@
     def arrived(self, exchange: Exchange) -> None:
         """Answer a request."""
         state = self.engine.state
-        is_check = self.dialect.is_readiness_check(exchange.start.path)
-        if is_check and state.leaving:
+        asked = self.dialect.is_readiness_check(exchange.start.path)
+        if asked and state.leaving:
             exchange.answer_result(ResultCode.ENTRY_LEAVING)
-        elif is_check and state.ready:
+        elif asked and state.ready:
             exchange.answer_document(b'{"ready": true}\n')
-        elif is_check:
+        elif asked:
             exchange.answer_result(ResultCode.NOT_READY)
         else:
             exchange.answer_result(ResultCode.UNKNOWN_ROUTE)
@@ -54,12 +54,12 @@
 
     def arrived(self, exchange: Exchange) -> None:
         """Answer a request."""
-        query = self.dialect.read_look_up(exchange.start.path)
-        if query is None:
+        asked = self.dialect.read_look_up(exchange.start.path)
+        if asked is None:
             exchange.answer_result(ResultCode.UNKNOWN_ROUTE)
             return
         engine = self.engine
-        found = look_up(engine.state, query.region, query.zone, engine.now())
+        found = look_up(engine.state, asked.region, asked.zone, engine.now())
         if isinstance(found, ResultCode):
             exchange.answer_result(found)
         else:
