--- a/worksrail/daemon/steered/_metrics.py
+++ b/worksrail/daemon/steered/_metrics.py
@@ -211,13 +211,13 @@
         for service, usable in state.catalog.services.items():
             self.upstreams.labels(service).set(len(usable))
             self.in_flight.labels(service).set(
-                sum(state.loads.of(found.name).own for found in usable)
+                sum(state.loads.of(upstream.name).own for upstream in usable)
             )
 
     def _update_limits(self, state: SteeringState) -> None:
         pacer = state.rates.named
         for service, usable in state.catalog.services.items():
-            rates = [pacer.rate_of(found.name) for found in usable]
+            rates = [pacer.rate_of(upstream.name) for upstream in usable]
             named = [rate for rate in rates if rate is not None]
             self.limited_upstreams.labels(service).set(len(named))
             self.named_rate.labels(service).set(sum(named))
--- a/worksrail/daemon/steered/_ports.py
+++ b/worksrail/daemon/steered/_ports.py
@@ -59,11 +59,11 @@
             exchange.answer_result(ResultCode.UNKNOWN_ROUTE)
             return
         engine = self.engine
-        found = look_up(engine.state, asked.region, asked.zone, engine.now())
-        if isinstance(found, ResultCode):
-            exchange.answer_result(found)
+        answer = look_up(engine.state, asked.region, asked.zone, engine.now())
+        if isinstance(answer, ResultCode):
+            exchange.answer_result(answer)
         else:
-            exchange.answer_document(self.dialect.render_entries(found))
+            exchange.answer_document(self.dialect.render_entries(answer))
 
     def caller_gone(self, exchange: Exchange) -> None:
         """Do nothing: requests are answered at once."""
