--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""Which idle connections are used again."""
+"""Reuse of idle connections."""
 
 import asyncio
 import socket
@@ -19,30 +19,32 @@
     streams: list[IOStream]
 
     async def handle_stream(self, stream: IOStream, address: Any) -> None:
-        """Keep it."""
+        """Store the stream."""
         self.streams.append(stream)
 
 
 class Pool:
-    """A pool, its clock and the other side."""
+    """A connection pool with its clock and the server."""
 
     def __init__(self, address: str, server: Accepting) -> None:
-        """Begin without connections."""
+        """Create an empty pool."""
         self.now = 100.0
         self.address = address
         self.server = server
         self.pool = ConnectionPool(lambda: self.now)
 
-    async def take(self) -> Acquired:
-        """A connection for a request."""
+    async def acquire_one(self) -> Acquired:
+        """Acquire a connection."""
         return await self.pool.acquire(self.address, 5)
 
-    def give(self, acquired: Acquired, kept_for: float | None = None) -> None:
-        """Its answer was whole."""
-        self.pool.release(self.address, acquired.stream, kept_for)
+    def release(
+        self, acquired: Acquired, keep_alive_timeout: float | None = None
+    ) -> None:
+        """Release a connection after a complete answer."""
+        self.pool.release(self.address, acquired.stream, keep_alive_timeout)
 
 
-def _play(use: Callable[[Pool], Awaitable[Any]]) -> Any:
+def _run_with_pool(use: Callable[[Pool], Awaitable[Any]]) -> Any:
     async def run() -> Any:
         server = Accepting()
         server.streams = []
@@ -60,7 +62,7 @@
 
 
 @pytest.mark.parametrize(
-    ('kept_for', 'idle', 'used'),
+    ('keep_alive_timeout', 'idle', 'reused'),
     [
         (None, 29, True),
         (None, 31, False),
@@ -70,89 +72,89 @@
         (100, 31, False),
     ],
 )
-def test_idle_connection_is_used_while_the_other_side_keeps_it(
-    kept_for: float | None, idle: float, used: bool
+def test_idle_connection_is_reused_within_the_keep_alive_timeout(
+    keep_alive_timeout: float | None, idle: float, reused: bool
 ) -> None:
     async def use(pool: Pool) -> bool:
-        first = await pool.take()
-        pool.give(first, kept_for)
+        first = await pool.acquire_one()
+        pool.release(first, keep_alive_timeout)
         pool.now += idle
-        return (await pool.take()).stream is first.stream
+        return (await pool.acquire_one()).stream is first.stream
 
-    assert _play(use) is used
+    assert _run_with_pool(use) is reused
 
 
 @pytest.mark.parametrize(
-    ('broke_after', 'idle', 'later', 'used'),
+    ('failed_after', 'idle', 'later', 'reused'),
     [
-        # It was dropped after 2 s or less: only what is idle for half of
-        # that is used, and after a while all again.
+        # The server dropped a connection within 2 s of idleness: for 10 s
+        # only those idle for at most half of that are reused.
         (0.05, 1.2, 0, False),
         (0.05, 0.8, 0, True),
         (0.05, 1.2, 10, True),
-        # One that breaks later had reached an upstream that then broke.
+        # A later failure is one of the upstream, not a stale connection.
         (0.4, 1.2, 0, True),
     ],
 )
-def test_connections_dropped_without_notice_are_not_met_again(
-    broke_after: float, idle: float, later: float, used: bool
+def test_silently_dropped_connections_are_not_reused(
+    failed_after: float, idle: float, later: float, reused: bool
 ) -> None:
     async def use(pool: Pool) -> bool:
-        dropped, other = await pool.take(), await pool.take()
-        pool.give(dropped)
+        dropped, other = await pool.acquire_one(), await pool.acquire_one()
+        pool.release(dropped)
         pool.now += 2
-        dropped = await pool.take()
+        dropped = await pool.acquire_one()
         assert dropped.idle_for == 2
-        pool.pool.note_broken(dropped, broke_after)
+        pool.pool.record_failure(dropped, failed_after)
         pool.now += later
-        pool.give(other)
+        pool.release(other)
         pool.now += idle
-        return (await pool.take()).stream is other.stream
+        return (await pool.acquire_one()).stream is other.stream
 
-    assert _play(use) is used
+    assert _run_with_pool(use) is reused
 
 
-def test_new_connection_that_breaks_says_nothing_of_idle_ones() -> None:
+def test_failure_of_a_new_connection_does_not_affect_idle_ones() -> None:
     async def use(pool: Pool) -> bool:
-        first, second = await pool.take(), await pool.take()
-        pool.pool.note_broken(first, 0.01)
-        pool.give(second)
+        first, second = await pool.acquire_one(), await pool.acquire_one()
+        pool.pool.record_failure(first, 0.01)
+        pool.release(second)
         pool.now += 20
-        return (await pool.take()).stream is second.stream
+        return (await pool.acquire_one()).stream is second.stream
 
-    assert _play(use)
+    assert _run_with_pool(use)
 
 
-class Resetting:
-    """Makes connections that were reset before they could be used."""
+class ClosedStreamClient:
+    """Returns connections that were reset right after connecting."""
 
     async def connect(self, *_: Any, **options: Any) -> IOStream:
-        """A closed connection."""
+        """Return a closed stream."""
         stream = IOStream(socket.socket())
         stream.close()
         return stream
 
 
-def test_connection_reset_at_once_is_no_connection() -> None:
-    # Found by the soak, seed 20261202: the follower of the store ended with
-    # an error, and the process with it.
+def test_connection_closed_right_after_connecting_raises_os_error() -> None:
+    # Soak test, seed 20261202: such a connection raised an error that ended
+    # the task that watches the store, and with it the process.
     async def use(pool: Pool) -> None:
-        pool.pool.client = Resetting()  # type: ignore[assignment]
+        pool.pool.client = ClosedStreamClient()  # type: ignore[assignment]
         with pytest.raises(OSError, match='no connection'):
-            await pool.take()
+            await pool.acquire_one()
 
-    _play(use)
+    _run_with_pool(use)
 
 
-def test_connection_that_the_other_side_closed_is_passed_over() -> None:
+def test_connection_closed_by_the_server_is_not_reused() -> None:
     async def use(pool: Pool) -> bool:
-        first = await pool.take()
-        pool.give(first)
+        first = await pool.acquire_one()
+        pool.release(first)
         while not pool.server.streams:
             await asyncio.sleep(0)
         pool.server.streams[0].close()
         while not first.stream.closed():
             await asyncio.sleep(0)
-        return (await pool.take()).stream is first.stream
+        return (await pool.acquire_one()).stream is first.stream
 
-    assert not _play(use)
+    assert not _run_with_pool(use)
--- a/tests/test_fingerprints.py
+++ b/tests/test_fingerprints.py
@@ -128,7 +128,7 @@
         while left:
             size = rng.randint(1, 30_000)
             chunk, left = left[:size], left[size:]
-            stream.note_lead(chunk)
+            stream.record_prefix(chunk)
             if stream.size + len(chunk) > REPLAY_LIMIT:
                 return stream.digest(declared)
             await stream.feed(chunk)
--- a/worksrail/daemon/http/__init__.py
+++ b/worksrail/daemon/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP towards callers, upstreams and other instances."""
+"""HTTP servers and clients: callers, upstreams and other instances."""
--- a/worksrail/daemon/http/_attempt.py
+++ b/worksrail/daemon/http/_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt to have a request answered over one connection."""
+"""One attempt to send a request over one connection and read its answer."""
 
 import asyncio
 import contextlib
@@ -18,19 +18,23 @@
 from worksrail.daemon.http._body import BodyStream
 from worksrail.daemon.http._connections import Acquired, ConnectionPool
 from worksrail.daemon.http._dialect import AnswerUse
-from worksrail.daemon.http._headers import BodyLength, answer_length, kept_for
+from worksrail.daemon.http._headers import (
+    BodyLength,
+    answer_length,
+    keep_alive_timeout,
+)
 
 _LOG: Final = Logger('worksrail.http')
-# Seconds in which a connection must be made.  Twice the way to the farthest
-# region fits in several times over; a lost first packet is sent again only
-# after a second, and another upstream is tried sooner than that.
+# Connect timeout in seconds.  It is several round trips to the farthest
+# region.  A lost SYN is retransmitted only after one second; the timeout is
+# shorter, so that another upstream is tried first.
 _CONNECT_TIMEOUT: Final = 0.5
-_FIRST_FINAL: Final = 200
-_ANSWERS_PASSED_OVER: Final = 4
-_MAX_HEADER: Final = 65_536
-_MAX_ANSWER: Final = 1_099_511_627_776
+_MIN_FINAL_STATUS: Final = 200
+_MAX_ANSWERS_READ: Final = 4
+_MAX_HEADER_BYTES: Final = 65_536
+_MAX_ANSWER_BYTES: Final = 1_099_511_627_776
 _PARAMETERS: Final = HTTP1ConnectionParameters(
-    max_header_size=_MAX_HEADER, max_body_size=_MAX_ANSWER
+    max_header_size=_MAX_HEADER_BYTES, max_body_size=_MAX_ANSWER_BYTES
 )
 
 
@@ -38,21 +42,21 @@
 class AttemptEnd(Enum):
     """How an attempt ended."""
 
-    NOT_SENT = 'no byte left'
-    WHOLE = 'the whole answer was read'
-    NO_ANSWER = 'the connection broke before the answer'
-    CUT_ANSWER = 'the connection broke within the answer'
-    UNVERIFIABLE = 'the end of the answer cannot be known'
-    REJECTED = 'what came is no answer to the request'
+    NOT_SENT = 'no byte of the request was sent'
+    WHOLE = 'the complete answer was read'
+    NO_ANSWER = 'the connection failed before the answer'
+    CUT_ANSWER = 'the connection failed within the answer'
+    UNVERIFIABLE = 'the length of the answer cannot be determined'
+    REJECTED = 'the data received does not answer the request'
     TIMED_OUT = 'the deadline passed'
-    CANCELLED = 'it was cancelled'
+    CANCELLED = 'the attempt was cancelled'
 
 
 class AnswerSink(Protocol):
-    """Where the answer goes."""
+    """Receives the answer."""
 
     def judge(self, status: int, headers: httputil.HTTPHeaders) -> AnswerUse:
-        """What to do with this answer."""
+        """Decide what to do with this answer."""
 
     async def start_answer(
         self,
@@ -65,7 +69,7 @@
         """Pass on a part of its body."""
 
     def end(self) -> None:
-        """The answer was read whole."""
+        """Handle the end of a completely read answer."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,7 +77,7 @@
     """A request as it is sent on one connection."""
 
     address: str
-    """IP number and port."""
+    """IP address and port to send to."""
 
     start: httputil.RequestStartLine
     """Method and path."""
@@ -82,39 +86,39 @@
     """All headers."""
 
     not_after: float
-    """If the clock shows this before the first byte, it is not sent."""
+    """Time from which the request is no longer sent."""
 
     deadline: float
-    """When the attempt is given up."""
+    """Time at which the attempt times out."""
 
     takes_unframed: bool = False
-    """An answer without length may end with its connection."""
+    """Whether an answer without a length may end when its connection closes."""
 
 
 @dataclass(slots=True)
 class AttemptReport:
-    """What is known when an attempt has ended."""
+    """Result of an attempt."""
 
     end: AttemptEnd
     """How it ended."""
 
     status: int = 0
-    """Status of the answer, if there was one."""
+    """Status of the answer; zero if there was none."""
 
     headers: httputil.HTTPHeaders = field(default_factory=httputil.HTTPHeaders)
     """Headers of the answer."""
 
     connect_time: float = 0
-    """Seconds that a new connection took; zero if one was kept."""
+    """Seconds to establish a new connection; zero if an idle one was used."""
 
     closed: bool = False
-    """The other side closed or reset the connection; it has not just fallen
-    silent."""
+    """Whether the remote side closed or reset the connection, as opposed to
+    not responding."""
 
 
 @dataclass(slots=True)
 class _AnswerReader(httputil.HTTPMessageDelegate):
-    """Reads one answer and hands it to the sink."""
+    """Reads one answer and passes it to the sink."""
 
     method: str
     sink: AnswerSink
@@ -131,14 +135,16 @@
     ) -> None:
         """Check the head of the answer and pass it on."""
         if not isinstance(start_line, httputil.ResponseStartLine):
-            raise TypeError('expected the start of an answer')
-        if start_line.code < _FIRST_FINAL:
+            raise TypeError('expected a response start line')
+        if start_line.code < _MIN_FINAL_STATUS:
             return
         self._check_length(start_line.code, headers)
         self.use = self.sink.judge(start_line.code, headers)
         if self.use is AnswerUse.REJECT:
             self.report.end = AttemptEnd.REJECTED
-            raise ConnectionAbortedError('not an answer to the request')
+            raise ConnectionAbortedError(
+                'the data received does not answer the request'
+            )
         if self.use is AnswerUse.PASS_OVER:
             return
         self.report.status = start_line.code
@@ -153,14 +159,17 @@
             await self.sink.write(chunk)
 
     def finish(self) -> None:
-        """The answer is whole, unless its connection was reset."""
+        """Complete the answer, unless it ends when the connection closes.
+
+        In that case :class:`HttpAttempt` completes it after an orderly close.
+        """
         if self.until_close:
             self.read_to_close = True
         else:
             self.complete()
 
     def complete(self) -> None:
-        """The answer is whole."""
+        """Mark the answer as complete."""
         if self.use is AnswerUse.PASS_OVER:
             return
         self.report.end = AttemptEnd.WHOLE
@@ -177,36 +186,38 @@
         refused = self.until_close and not self.takes_unframed
         if refused or length is BodyLength.AMBIGUOUS:
             self.report.end = AttemptEnd.UNVERIFIABLE
-            raise ConnectionAbortedError('answer without a checkable length')
+            raise ConnectionAbortedError(
+                'the length of the answer cannot be determined'
+            )
 
 
 @dataclass(slots=True)
 class HttpAttempt:
     """Sends one request and passes the answer to a sink.
 
-    A connection goes back to its pool only after a whole answer; otherwise
-    it is closed, so that a late answer never meets another request.
+    A connection returns to its pool only after a complete answer.  Otherwise it
+    is closed, so that a late answer is never taken for that of another request.
     """
 
     pool: ConnectionPool
-    """Where connections come from."""
+    """Pool that provides the connection."""
 
     clock: Callable[[], float]
     """Monotonic time in seconds."""
 
     outgoing: Outgoing
-    """What is sent."""
+    """Request to send."""
 
     body: BodyStream
     """Body of the request."""
 
     sink: AnswerSink
-    """Where the answer goes."""
+    """Receives the answer."""
 
     async def run(self) -> AttemptReport:
-        """Make the attempt; never raises but when cancelled from outside."""
+        """Make the attempt; failures and cancellation end up in the report."""
         report = AttemptReport(AttemptEnd.NOT_SENT)
-        acquired = await self._connected(report)
+        acquired = await self._acquire(report)
         if acquired is None:
             return report
         stream = acquired.stream
@@ -220,21 +231,25 @@
         except asyncio.CancelledError:
             report.end = AttemptEnd.CANCELLED
         if report.end is AttemptEnd.NO_ANSWER:
-            self.pool.note_broken(acquired, self.clock() - sent_at)
+            self.pool.record_failure(acquired, self.clock() - sent_at)
         if report.end is AttemptEnd.WHOLE and _keeps_alive(report):
             self.pool.release(
-                self.outgoing.address, stream, kept_for(report.headers)
+                self.outgoing.address,
+                stream,
+                keep_alive_timeout(report.headers),
             )
         else:
             stream.close()
         return report
 
-    async def _connected(self, report: AttemptReport) -> Acquired | None:
+    async def _acquire(self, report: AttemptReport) -> Acquired | None:
         timeout = min(_CONNECT_TIMEOUT, self.outgoing.deadline - self.clock())
         try:
             acquired = await self.pool.acquire(self.outgoing.address, timeout)
         except (OSError, TimeoutError, asyncio.CancelledError) as error:
-            _LOG.debug('no connection: {}: {}', self.outgoing.address, error)
+            _LOG.debug(
+                'connecting to {} failed: {}', self.outgoing.address, error
+            )
             return None
         report.connect_time = acquired.connect_time
         return acquired
@@ -244,19 +259,19 @@
         stream: IOStream,
         report: AttemptReport,
     ) -> None:
-        left = max(0, self.outgoing.deadline - self.clock())
+        remaining = max(0, self.outgoing.deadline - self.clock())
         connection = HTTP1Connection(stream, True, _PARAMETERS)
         writer = asyncio.ensure_future(self._write(connection))
         try:
-            async with asyncio.timeout(left):
+            async with asyncio.timeout(remaining):
                 await self._read(connection, stream, report)
         except TimeoutError:
             if report.end is not AttemptEnd.WHOLE:
                 report.end = AttemptEnd.TIMED_OUT
         except (StreamClosedError, httputil.HTTPInputError, OSError) as error:
-            # The report says how far the answer had come.
+            # The report's end already says how much of the answer was received.
             report.closed = _closed_by_peer(stream.error)
-            _LOG.debug('attempt at {} broke: {}', self.outgoing.address, error)
+            _LOG.debug('attempt at {} failed: {}', self.outgoing.address, error)
         finally:
             if not writer.done():
                 report.headers['Connection'] = 'close'
@@ -268,7 +283,7 @@
         stream: IOStream,
         report: AttemptReport,
     ) -> None:
-        for _ in range(_ANSWERS_PASSED_OVER):
+        for _ in range(_MAX_ANSWERS_READ):
             reader = _AnswerReader(
                 self.outgoing.start.method,
                 self.sink,
@@ -280,7 +295,7 @@
                 reader.complete()
             if reader.use is not AnswerUse.PASS_OVER or stream.closed():
                 return
-            # What came was a late answer to an earlier request.
+            # This was a late answer to an earlier request; read the next one.
             connection = HTTP1Connection(stream, True, _PARAMETERS)
 
     async def _write(self, connection: HTTP1Connection) -> None:
@@ -299,7 +314,7 @@
 
 
 def _closed_by_peer(error: BaseException | None) -> bool:
-    # Without an error the connection has ended in order.
+    # Without an error the connection was closed in an orderly way.
     return error is None or isinstance(error, ConnectionError)
 
 
--- a/worksrail/daemon/http/_body.py
+++ b/worksrail/daemon/http/_body.py
@@ -1,4 +1,4 @@
-"""A request body on its way: streamed, and kept while it is small."""
+"""Request bodies: streamed, and buffered for replay while small."""
 
 import asyncio
 import hashlib
@@ -8,49 +8,49 @@
 
 REPLAY_LIMIT: Final = 65_536
 _HIGH_WATER: Final = 262_144
-# Bytes at the begin of a body by which a long one is known again.
-_LEAD_BYTES: Final = 16_384
+# Number of leading bytes by which a long body is recognized.
+_PREFIX_BYTES: Final = 16_384
 _DIGEST_BYTES: Final = 16
 
 
 @dataclass(slots=True)
 class BodyStream:
-    """Chunks between the caller's connection and the next one.
+    """Body chunks between the caller's connection and the outgoing one.
 
-    While the whole body fits into ``REPLAY_LIMIT`` it is kept, so that a
-    request which was certainly not run can be sent again.
+    While the body fits into ``REPLAY_LIMIT`` all of it is kept, so that a
+    request that was certainly not run can be sent again.
     """
 
     kept: list[bytes] = field(default_factory=list)
-    """All chunks so far, while the body is small."""
+    """All chunks received so far, while the body is small enough to replay."""
 
-    lead: bytearray = field(default_factory=bytearray)
+    prefix: bytearray = field(default_factory=bytearray)
     """The first bytes of the body."""
 
     pending: deque[bytes] = field(default_factory=deque)
-    """Chunks that have not been read."""
+    """Chunks not read yet."""
 
     size: int = 0
-    """Bytes so far."""
+    """Bytes received so far."""
 
-    waiting_bytes: int = 0
-    """Bytes that have not been read."""
+    unread_bytes: int = 0
+    """Bytes received but not read yet."""
 
     ended: bool = False
-    """The body is complete."""
+    """Whether the body is complete."""
 
     broken: bool = False
-    """The caller broke off within the body."""
+    """Whether the caller disconnected within the body."""
 
     changed: asyncio.Event = field(default_factory=asyncio.Event)
-    """Set when something was added."""
+    """Set when a chunk arrives or the body ends."""
 
     drained: asyncio.Event = field(default_factory=asyncio.Event)
-    """Set when there is room for more."""
+    """Set when a chunk was read or the body was aborted."""
 
     @classmethod
     def from_bytes(cls, body: bytes) -> 'BodyStream':
-        """A body that is there already; nobody waits for its reader."""
+        """Create a complete body from bytes that are already present."""
         stream = cls(ended=True)
         if body:
             stream.pending.append(body)
@@ -62,15 +62,15 @@
         return self.size <= REPLAY_LIMIT
 
     @property
-    def has_lead(self) -> bool:
-        """Whether enough has come to know a long body again."""
-        return len(self.lead) >= _LEAD_BYTES
+    def has_prefix(self) -> bool:
+        """Whether enough bytes have arrived to recognize a long body."""
+        return len(self.prefix) >= _PREFIX_BYTES
 
     def digest(self, declared: str) -> bytes:
-        """Hash of the body, or of what is known of a long one.
+        """Hash of the body, or of the prefix and declared length of a long one.
 
-        A body that goes on while it is sent is known by its first bytes and
-        its declared length; the chunks in which it comes make no difference.
+        A body that is forwarded while it still arrives is identified by its
+        first bytes and its declared length, however it is split into chunks.
 
         >>> BodyStream(ended=True).digest('')
         b''
@@ -80,25 +80,25 @@
                 return b''
             known = b''.join(self.kept)
             return _hash(b'whole', known)
-        return _hash(f'long {declared}'.encode(), bytes(self.lead))
+        return _hash(f'long {declared}'.encode(), bytes(self.prefix))
 
-    def note_lead(self, chunk: bytes) -> None:
-        """Keep the first bytes; called before a chunk is fed."""
-        room = _LEAD_BYTES - len(self.lead)
-        if room > 0:
-            self.lead += chunk[:room]
+    def record_prefix(self, chunk: bytes) -> None:
+        """Add a chunk to the prefix; to be called before the chunk is fed."""
+        missing = _PREFIX_BYTES - len(self.prefix)
+        if missing > 0:
+            self.prefix += chunk[:missing]
 
     async def feed(self, chunk: bytes) -> None:
-        """Add a chunk; waits while too much has not been read."""
+        """Add a chunk; waits while too many bytes are unread."""
         self.size += len(chunk)
-        self.waiting_bytes += len(chunk)
+        self.unread_bytes += len(chunk)
         self.pending.append(chunk)
         if self.replayable:
             self.kept.append(chunk)
         else:
             self.kept.clear()
         self.changed.set()
-        while self.waiting_bytes > _HIGH_WATER and not self.broken:
+        while self.unread_bytes > _HIGH_WATER and not self.broken:
             self.drained.clear()
             await self.drained.wait()
 
@@ -108,27 +108,29 @@
         self.changed.set()
 
     def break_off(self) -> None:
-        """Mark the body as broken off."""
+        """Mark the body as aborted by the caller."""
         self.broken = True
         self.changed.set()
         self.drained.set()
 
     def rewind(self) -> None:
-        """Start reading from the beginning again; only while replayable."""
+        """Restart reading from the beginning; only valid if replayable."""
         self.pending = deque(self.kept)
-        self.waiting_bytes = sum(len(chunk) for chunk in self.kept)
+        self.unread_bytes = sum(len(chunk) for chunk in self.kept)
 
     async def read(self) -> bytes | None:
-        """Next chunk, or None at the end; raises when broken off."""
+        """Return the next chunk, or None at the end; raises if aborted."""
         while not self.pending:
             if self.broken:
-                raise ConnectionAbortedError('the caller broke off')
+                raise ConnectionAbortedError(
+                    'the caller disconnected within the request body'
+                )
             if self.ended:
                 return None
             self.changed.clear()
             await self.changed.wait()
         chunk = self.pending.popleft()
-        self.waiting_bytes -= len(chunk)
+        self.unread_bytes -= len(chunk)
         self.drained.set()
         return chunk
 
--- a/worksrail/daemon/http/_callers.py
+++ b/worksrail/daemon/http/_callers.py
@@ -1,4 +1,4 @@
-"""The callers' port: requests of services, and look-ups."""
+"""Handlers of the caller port and of the port for passed requests."""
 
 from dataclasses import asdict, dataclass
 from typing import Final
@@ -11,33 +11,33 @@
 from worksrail.daemon.http._exchange import Exchange
 from worksrail.daemon.http._requests import HttpRequests
 
-_OWN_PREFIX: Final = '/.worksrail/'
-_LOOK_UP: Final = '/.worksrail/look-up'
-_READY: Final = '/.worksrail/ready'
+_RESERVED_PREFIX: Final = '/.worksrail/'
+_LOOK_UP_PATH: Final = '/.worksrail/look-up'
+_READY_PATH: Final = '/.worksrail/ready'
 
 
 @dataclass(slots=True)
 class CallerHandler:
-    """Takes what callers send."""
+    """Handles the requests of callers: services, look-ups and readiness."""
 
     requests: HttpRequests
-    """Runs requests of services."""
+    """Handles requests to services."""
 
     def arrived(self, exchange: Exchange) -> None:
-        """Answer a look-up, or let the request be placed."""
-        if not exchange.start.path.startswith(_OWN_PREFIX):
+        """Answer a look-up or a readiness check, or start a service request."""
+        if not exchange.start.path.startswith(_RESERVED_PREFIX):
             self.requests.arrived(exchange)
             return
         url = urlsplit(exchange.start.path)
-        if url.path == _LOOK_UP:
+        if url.path == _LOOK_UP_PATH:
             self._look_up(exchange, parse_qs(url.query))
-        elif url.path == _READY:
+        elif url.path == _READY_PATH:
             self._ready(exchange)
         else:
             exchange.answer_result(ResultCode.UNKNOWN_SERVICE)
 
     def caller_gone(self, exchange: Exchange) -> None:
-        """Pass on that a caller went away."""
+        """Report that a caller disconnected."""
         self.requests.caller_gone(exchange)
 
     def _look_up(
@@ -77,15 +77,15 @@
 
 @dataclass(slots=True)
 class PassedHandler:
-    """Takes requests that other instances pass on."""
+    """Handles requests passed on by other instances."""
 
     requests: HttpRequests
-    """Runs them."""
+    """Handles requests to services."""
 
     def arrived(self, exchange: Exchange) -> None:
-        """Let a passed request be placed."""
+        """Start a request that was passed on."""
         self.requests.arrived(exchange, trusted=True)
 
     def caller_gone(self, exchange: Exchange) -> None:
-        """Pass on that the other instance gave the request up."""
+        """Report that the passing instance closed its connection."""
         self.requests.caller_gone(exchange)
--- a/worksrail/daemon/http/_collected.py
+++ b/worksrail/daemon/http/_collected.py
@@ -1,4 +1,4 @@
-"""An answer that is kept instead of passed on."""
+"""An answer sink that collects the answer in memory."""
 
 from dataclasses import dataclass, field
 
@@ -9,24 +9,24 @@
 
 @dataclass(slots=True)
 class CollectedAnswer:
-    """Collects an answer; it counts only once the attempt says it is whole."""
+    """Collects an answer; valid only if the attempt reports it as complete."""
 
     status: int = 0
-    """Its status."""
+    """HTTP status."""
 
     headers: HTTPHeaders = field(default_factory=HTTPHeaders)
-    """Its headers."""
+    """Answer headers."""
 
     chunks: list[bytes] = field(default_factory=list)
-    """Parts of its body so far."""
+    """Body chunks received so far."""
 
     @property
     def body(self) -> bytes:
-        """Its body so far."""
+        """Body received so far."""
         return b''.join(self.chunks)
 
     def judge(self, status: int, headers: HTTPHeaders) -> AnswerUse:
-        """Every answer is kept."""
+        """Accept every answer."""
         return AnswerUse.PASS_ON
 
     async def start_answer(
@@ -34,13 +34,13 @@
         start: ResponseStartLine,
         headers: HTTPHeaders,
     ) -> None:
-        """Keep the head."""
+        """Store the status and the headers."""
         self.status = start.code
         self.headers = headers
 
     async def write(self, chunk: bytes) -> None:
-        """Keep a part of the body."""
+        """Append a part of the body."""
         self.chunks.append(chunk)
 
     def end(self) -> None:
-        """Nothing more comes."""
+        """Do nothing; the attempt reports whether the answer is complete."""
--- a/worksrail/daemon/http/_connections.py
+++ b/worksrail/daemon/http/_connections.py
@@ -1,4 +1,4 @@
-"""Kept-alive connections to upstreams and other instances."""
+"""Pool of keep-alive connections to upstreams and other instances."""
 
 import socket
 import ssl
@@ -11,22 +11,22 @@
 from tornado.iostream import IOStream, StreamClosedError
 from tornado.tcpclient import TCPClient
 
-_IDLE_LIMIT: Final = 32
-_IDLE_AGE: Final = 30.0
-# Share of the time that the other side keeps an idle connection, by its own
-# word, for which it is used again.
-_IDLE_SHARE: Final = 0.8
-# A kept connection that breaks this soon after a request was sent on it, in
-# seconds, had been dropped by the other side without notice.  Then only
-# connections idle for less than a share of that time are used, for a while.
-_BROKE_AT_ONCE: Final = 0.15
-_TRUSTED_SHARE: Final = 0.5
-_LEAST_TRUSTED: Final = 0.1
-_DISTRUST_TIME: Final = 10.0
-# Seconds of idleness before the first probe, seconds between probes, probes
-# without an answer after which a connection is dead; milliseconds after
-# which unacknowledged bytes make it dead.
-_SILENCE_OPTIONS: Final = (
+_MAX_IDLE_CONNECTIONS: Final = 32
+_MAX_IDLE_TIME: Final = 30.0
+# An idle connection is reused for this share of the keep-alive timeout that
+# the remote side advertised.
+_KEEP_ALIVE_SHARE: Final = 0.8
+# A reused connection that fails within this many seconds of sending had been
+# dropped silently by the remote side.  For a while after that, only
+# connections idle for less than a share of its idle time are reused.
+_STALE_FAILURE_TIME: Final = 0.15
+_REUSABLE_IDLE_SHARE: Final = 0.5
+_MIN_REUSABLE_IDLE: Final = 0.1
+_STALE_WINDOW: Final = 10.0
+# TCP keepalive: first probe after 1 s idle, then every 1 s; the connection is
+# dead after 2 unanswered probes, or when sent bytes stay unacknowledged for
+# 2000 ms.
+_KEEPALIVE_OPTIONS: Final = (
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1),
@@ -53,21 +53,21 @@
     """Seconds for which it was idle; zero if it is new."""
 
     connect_time: float
-    """Seconds that a new one took; zero if it was kept."""
+    """Seconds to establish a new connection; zero if it was reused."""
 
 
 @dataclass(slots=True)
 class ConnectionPool:
-    """Idle connections by address; one request at a time on each.
+    """Idle connections by address; each serves one request at a time.
 
-    Only a connection on which a whole answer was read comes back here.
+    Only a connection on which a complete answer was read may be released here.
     """
 
     clock: Callable[[], float]
     """Monotonic time in seconds."""
 
     context: ssl.SSLContext | None = None
-    """Set for connections to other instances."""
+    """TLS context; set for connections to other instances that use TLS."""
 
     client: TCPClient = field(default_factory=TCPClient)
     """Opens connections."""
@@ -75,19 +75,19 @@
     idle: dict[str, list[_Idle]] = field(
         default_factory=lambda: defaultdict(list)
     )
-    """Idle connections, longest unused first."""
+    """Idle connections, least recently used first."""
 
-    trusted_idle: float = _IDLE_AGE
-    """Seconds of idleness after which a connection is not used."""
+    max_reusable_idle: float = _MAX_IDLE_TIME
+    """Idle seconds beyond which, after a stale one, none is reused."""
 
-    distrusted_at: float = -inf
-    """When a kept connection broke at once the last time."""
+    stale_at: float = -inf
+    """Time at which a reused connection last proved to be stale."""
 
     async def acquire(self, address: str, timeout: float) -> Acquired:
-        """An idle connection, or a new one; raises ``OSError``."""
-        waiting = self.idle[address]
-        while waiting:
-            idle = waiting.pop()
+        """Return an idle connection or open a new one; raises ``OSError``."""
+        idle_connections = self.idle[address]
+        while idle_connections:
+            idle = idle_connections.pop()
             idle_for = self.clock() - idle.since
             if not self._is_usable(idle, idle_for):
                 idle.stream.close()
@@ -98,40 +98,42 @@
         stream = await self._connect(address, timeout)
         return Acquired(stream, 0, self.clock() - began)
 
-    def note_broken(self, acquired: Acquired, sent_for: float) -> None:
-        """A connection broke without an answer, some seconds after sending."""
-        if not acquired.idle_for or sent_for > _BROKE_AT_ONCE:
+    def record_failure(self, acquired: Acquired, sent_for: float) -> None:
+        """Record a failure without an answer, given the seconds since sending."""
+        if not acquired.idle_for or sent_for > _STALE_FAILURE_TIME:
             return
         now = self.clock()
-        trusted = max(_LEAST_TRUSTED, acquired.idle_for * _TRUSTED_SHARE)
-        if now - self.distrusted_at < _DISTRUST_TIME:
-            trusted = min(trusted, self.trusted_idle)
-        self.trusted_idle = trusted
-        self.distrusted_at = now
+        reusable = max(
+            _MIN_REUSABLE_IDLE, acquired.idle_for * _REUSABLE_IDLE_SHARE
+        )
+        if now - self.stale_at < _STALE_WINDOW:
+            reusable = min(reusable, self.max_reusable_idle)
+        self.max_reusable_idle = reusable
+        self.stale_at = now
 
     def release(
         self,
         address: str,
         stream: IOStream,
-        kept_for: float | None = None,
+        keep_alive_timeout: float | None = None,
     ) -> None:
-        """Keep a connection for the next request.
+        """Return a connection to the pool for later requests.
 
-        The other side may have said for how many seconds it keeps it.
+        The keep-alive timeout is that advertised by the remote side, if any.
         """
-        waiting = self.idle[address]
+        idle_connections = self.idle[address]
         if stream.closed():
             return
-        if len(waiting) >= _IDLE_LIMIT:
-            waiting.pop(0).stream.close()
-        age = _IDLE_AGE
-        if kept_for is not None:
-            age = min(age, kept_for * _IDLE_SHARE)
+        if len(idle_connections) >= _MAX_IDLE_CONNECTIONS:
+            idle_connections.pop(0).stream.close()
+        age = _MAX_IDLE_TIME
+        if keep_alive_timeout is not None:
+            age = min(age, keep_alive_timeout * _KEEP_ALIVE_SHARE)
         now = self.clock()
-        waiting.append(_Idle(stream, now, now + age))
-        # With a callback the stream notices that the other side closed it;
-        # without one a request would be lost on a dead connection.
-        stream.set_close_callback(_noticed)
+        idle_connections.append(_Idle(stream, now, now + age))
+        # Only a stream with a close callback watches for the remote side
+        # closing; without one a request could be sent on a dead connection.
+        stream.set_close_callback(_ignore_close)
 
     def drop(self, address: str) -> None:
         """Close the idle connections to an address."""
@@ -140,16 +142,16 @@
 
     def close(self) -> None:
         """Close all idle connections."""
-        for waiting in self.idle.values():
-            for idle in waiting:
+        for idle_connections in self.idle.values():
+            for idle in idle_connections:
                 idle.stream.close()
-            waiting.clear()
+            idle_connections.clear()
 
     def _is_usable(self, idle: _Idle, idle_for: float) -> bool:
-        distrusted = self.clock() - self.distrusted_at < _DISTRUST_TIME
-        if distrusted and idle_for > self.trusted_idle:
+        recently_stale = self.clock() - self.stale_at < _STALE_WINDOW
+        if recently_stale and idle_for > self.max_reusable_idle:
             return False
-        return self.clock() < idle.until and _is_silent(idle.stream)
+        return self.clock() < idle.until and _has_no_input(idle.stream)
 
     async def _connect(self, address: str, timeout: float) -> IOStream:
         host, _, port = address.partition(':')
@@ -160,16 +162,18 @@
         except StreamClosedError as error:
             raise OSError(f'no connection to {address}') from error
         if stream.closed():
-            raise OSError(f'no connection to {address}: reset at once')
+            raise OSError(
+                f'no connection to {address}: closed right after connecting'
+            )
         stream.set_nodelay(True)
-        _notice_silence(stream)
+        _enable_keepalive(stream)
         return stream
 
 
-def _is_silent(stream: IOStream) -> bool:
-    # Bytes that nobody asked for belong to no request, and an end means that
-    # the other side closes.  They may be in the stream's buffer, for which
-    # there is no public name, or still with the kernel.
+def _has_no_input(stream: IOStream) -> bool:
+    # Unsolicited bytes belong to no request, and an end of file means that the
+    # remote side closed.  They may be in the stream's buffer, for which there
+    # is no public accessor, or still in the kernel's.
     if stream.closed() or stream._read_buffer_size:
         return False
     try:
@@ -181,12 +185,12 @@
     return False
 
 
-def _notice_silence(stream: IOStream) -> None:
-    # A machine that lost its power or its network never answers: the kernel
-    # shall find out, within a few seconds.
-    for level, option, setting in _SILENCE_OPTIONS:
+def _enable_keepalive(stream: IOStream) -> None:
+    # A machine that lost power or network never answers; keepalive probes
+    # detect that within a few seconds.
+    for level, option, setting in _KEEPALIVE_OPTIONS:
         stream.socket.setsockopt(level, option, setting)
 
 
-def _noticed() -> None:
-    """Nothing is left to do: a closed stream is passed over."""
+def _ignore_close() -> None:
+    """Do nothing; :meth:`ConnectionPool.acquire` skips closed streams."""
--- a/worksrail/daemon/http/_dialect.py
+++ b/worksrail/daemon/http/_dialect.py
@@ -1,6 +1,6 @@
-"""How the parts of worksrail's HTTP messages are spelled towards callers.
+"""Header names and formats used towards callers.
 
-The decisions are the same for every dialect; only names differ.
+Dialects differ only in how a decision is written to headers.
 """
 
 from enum import Enum, unique
@@ -17,20 +17,20 @@
 class AnswerUse(Enum):
     """What to do with an answer whose head has arrived."""
 
-    PASS_ON = 'it is the answer to the request'
-    HOLD_BACK = 'it is for this instance only; read it to its end'
-    PASS_OVER = 'it belongs to another request; the next one may be ours'
-    REJECT = 'it is no answer to any request; nothing more can be read'
+    PASS_ON = 'answers the request; pass it on'
+    HOLD_BACK = 'meant for this instance only; read it to its end'
+    PASS_OVER = 'answers an earlier request; read the next answer'
+    REJECT = 'answers no request; the connection is unusable'
 
 
 class CallerDialect(Protocol):
-    """Spells requests and answers towards callers."""
+    """Reads and writes worksrail's headers towards callers."""
 
     def trace_of(self, headers: HTTPHeaders) -> str:
-        """The caller's identifier of a request; empty if there is none."""
+        """Return the caller's trace identifier; empty if there is none."""
 
     def mark_answer(self, headers: HTTPHeaders, trace: str) -> None:
-        """Add to an upstream's answer what callers expect."""
+        """Add worksrail's headers to an upstream's answer."""
 
     def result_headers(
         self,
@@ -39,20 +39,20 @@
         retry_after: float,
         entry: str,
     ) -> HTTPHeaders:
-        """Headers of an answer that carries a result code."""
+        """Return the headers of an answer that carries a result code."""
 
 
 class OwnDialect:
-    """Worksrail's own headers."""
+    """Dialect that uses worksrail's own headers."""
 
     __slots__ = ()
 
     def trace_of(self, headers: HTTPHeaders) -> str:
-        """The caller's identifier of a request; empty if there is none."""
+        """Return the caller's trace identifier; empty if there is none."""
         return headers.get(names.TRACE, '')
 
     def mark_answer(self, headers: HTTPHeaders, trace: str) -> None:
-        """Add the result and the identifier."""
+        """Add the result and the trace identifier."""
         headers[names.RESULT] = str(ResultCode.OK.number)
         headers[names.TRACE] = trace
 
@@ -63,7 +63,7 @@
         retry_after: float,
         entry: str,
     ) -> HTTPHeaders:
-        """Headers of an answer that carries a result code."""
+        """Return the headers of an answer that carries a result code."""
         headers = HTTPHeaders(
             {
                 'Content-Type': 'application/json',
--- a/worksrail/daemon/http/_exchange.py
+++ b/worksrail/daemon/http/_exchange.py
@@ -1,4 +1,4 @@
-"""A caller's request and the way of its answer back."""
+"""A caller's request and its answer."""
 
 import asyncio
 import contextlib
@@ -29,9 +29,9 @@
 class Exchange:
     """One request, from its arrival to the last byte of its answer.
 
-    The answer is either passed through whole, or is a numbered result.  When
-    an answer that has begun cannot be completed, the connection is broken,
-    so that the caller never takes a part for the whole.
+    The answer is either an upstream's, passed through, or a numbered result.
+    If an answer that has begun cannot be completed, the connection is closed,
+    so that the caller never takes a partial answer for a complete one.
     """
 
     connection: httputil.HTTPConnection
@@ -41,58 +41,58 @@
     """Method and path."""
 
     headers: httputil.HTTPHeaders
-    """Headers as they came."""
+    """Headers as received."""
 
     client: str
     """IP address of the caller."""
 
     trace: str
-    """Identifier of the request."""
+    """Trace identifier of the request."""
 
     number: int = 0
-    """Number of the arrival."""
+    """Sequence number of the request in this process."""
 
     body: BodyStream = field(default_factory=BodyStream)
     """Body of the request."""
 
     dialect: CallerDialect = _OWN
-    """How the answer is spelled."""
+    """Headers used in the answer."""
 
     closing: bool = False
-    """The connection is closed after the answer."""
+    """Whether the connection is closed after the answer."""
 
     from_instance: bool = False
-    """The answer comes from another instance."""
+    """Whether the request was passed on, so that another instance answers."""
 
     begun: bool = False
-    """The head of the answer was written."""
+    """Whether the head of the answer was written."""
 
     ended: bool = False
-    """The answer is complete, or was broken off."""
+    """Whether the answer is complete or was aborted."""
 
     gone: bool = False
-    """The caller went away."""
+    """Whether the caller disconnected."""
 
     task: asyncio.Task[None] | None = None
-    """The attempt that is under way."""
+    """The attempt in progress."""
 
     def body_digest(self) -> bytes:
-        """Hash of the body, by which a repeated request is known again."""
+        """Hash of the body, used to recognize a repeated request."""
         return self.body.digest(self.headers.get('Content-Length', ''))
 
     # -- answers passed through
 
     def judge(self, status: int, headers: httputil.HTTPHeaders) -> AnswerUse:
-        """Every answer is passed on but one that says *not run*.
+        """Pass on every answer except one marked as not run.
 
-        Other instances also answer with results of their own, which are
-        decided on again here.
+        Numbered results from other instances are held back too, since this
+        instance decides again what to do with the request.
         """
         if names.NOT_RUN in headers:
             return AnswerUse.HOLD_BACK
-        passed_on = str(ResultCode.OK.number)
-        result = headers.get(names.RESULT, passed_on)
-        if self.from_instance and result != passed_on:
+        ok = str(ResultCode.OK.number)
+        result = headers.get(names.RESULT, ok)
+        if self.from_instance and result != ok:
             return AnswerUse.HOLD_BACK
         return AnswerUse.PASS_ON
 
@@ -107,16 +107,16 @@
         self.begun = True
         out = names.end_to_end(headers)
         self.dialect.mark_answer(out, self.trace)
-        self._announce_close(out)
-        await self._written(self.connection.write_headers(start, out))
+        self._set_connection_close(out)
+        await self._await_write(self.connection.write_headers(start, out))
 
     async def write(self, chunk: bytes) -> None:
         """Write a part of an upstream's answer."""
         if not self.gone:
-            await self._written(self.connection.write(chunk))
+            await self._await_write(self.connection.write(chunk))
 
     def end(self) -> None:
-        """Complete an answer that was passed through."""
+        """Complete an upstream's answer."""
         self.ended = True
         if not self.gone:
             with contextlib.suppress(
@@ -132,7 +132,7 @@
         retry_after: float = 0,
         entry: str = '',
     ) -> None:
-        """Answer with a result, or break off an answer that has begun."""
+        """Answer with a result, or abort an answer that has already begun."""
         if self.ended or self.gone:
             self.ended = True
             return
@@ -148,7 +148,7 @@
         if self.start.method == 'HEAD':
             payload = b''
         headers['Content-Length'] = str(len(payload))
-        self._announce_close(headers)
+        self._set_connection_close(headers)
         reason = HTTPStatus(code.http_status).phrase
         with contextlib.suppress(StreamClosedError, httputil.HTTPOutputError):
             self.connection.write_headers(
@@ -165,7 +165,7 @@
         document: bytes,
         content_type: str = 'application/json',
     ) -> None:
-        """Answer with a document of our own."""
+        """Answer with a document generated by this instance."""
         if self.ended or self.gone:
             self.ended = True
             return
@@ -186,35 +186,35 @@
             self.connection.finish()
 
     def break_off(self) -> None:
-        """Break the caller's connection within an answer."""
+        """Abort the answer by closing the caller's connection."""
         self.ended = True
         stream = getattr(self.connection, 'stream', None)
         if stream is not None:
             stream.close()
 
     def run(self, attempt: Coroutine[Any, Any, None]) -> None:
-        """Start an attempt to have the request answered."""
+        """Start an attempt as a task."""
         self.task = asyncio.ensure_future(attempt)
 
     def cancel(self) -> None:
-        """Cut off the attempt that is under way."""
+        """Cancel the attempt in progress."""
         if self.task and not self.task.done():
             self.task.cancel()
 
-    def _announce_close(self, headers: httputil.HTTPHeaders) -> None:
-        # The rest of a body is not read, so the connection cannot be used
-        # for another request.
+    def _set_connection_close(self, headers: httputil.HTTPHeaders) -> None:
+        # The rest of an incomplete body is not read, so the connection cannot
+        # be used for another request.
         if self.closing or not self.body.ended:
             headers['Connection'] = 'close'
 
     def _finish(self) -> None:
         if self.closing:
-            # The HTTP library closes by the request's headers only and has
-            # no public name for this.
+            # Tornado decides by the request's headers only whether to close,
+            # and has no public attribute for this.
             self.connection._disconnect_on_finish = True  # type: ignore
         self.connection.finish()
 
-    async def _written(self, future: asyncio.Future[None]) -> None:
+    async def _await_write(self, future: asyncio.Future[None]) -> None:
         try:
             await future
         except StreamClosedError:
@@ -222,7 +222,7 @@
 
 
 def result_payload(code: ResultCode, trace: str) -> bytes:
-    """Body of an answer that carries a result code."""
+    """Return the JSON body of an answer that carries a result code."""
     document = {
         'result': code.number,
         'name': code.name,
--- a/worksrail/daemon/http/_headers.py
+++ b/worksrail/daemon/http/_headers.py
@@ -1,4 +1,4 @@
-"""Header names, hop-by-hop stripping and checks of message lengths."""
+"""Header names, removal of hop-by-hop headers and body length checks."""
 
 import re
 from enum import Enum, unique
@@ -25,7 +25,7 @@
 
 _CONTENT_LENGTH: Final = 'Content-Length'
 _TRANSFER_ENCODING: Final = 'Transfer-Encoding'
-_HOP_BY_HOP: Final = frozenset(
+_HOP_BY_HOP_HEADERS: Final = frozenset(
     (
         'Connection',
         'Keep-Alive',
@@ -38,9 +38,9 @@
         'Upgrade',
     )
 )
-# Only instances may set these; a caller's own are dropped.
-# A caller's key goes no further than the instance that it reaches.
-_INTERNAL: Final = frozenset(
+# Only instances may set these; those set by callers or upstreams are removed.
+# A caller's API key is not passed beyond the instance that receives it.
+_INTERNAL_HEADERS: Final = frozenset(
     (CLIENT, HOME, PASSING, RESULT, ENTRY, CUSTOMER, API_KEY)
 )
 _DIGITS: Final = re.compile(r'\d{1,18}')
@@ -49,20 +49,20 @@
 
 @unique
 class BodyLength(Enum):
-    """How the end of a message body is found."""
+    """How the length of a message body is determined."""
 
-    NONE = 'there is no body'
-    COUNTED = 'by its length'
-    CHUNKED = 'by its last chunk'
-    UNTIL_CLOSE = 'by the end of the connection'
-    AMBIGUOUS = 'in more than one way'
+    NONE = 'no body'
+    COUNTED = 'by Content-Length'
+    CHUNKED = 'by chunked encoding'
+    UNTIL_CLOSE = 'by the close of the connection'
+    AMBIGUOUS = 'by conflicting or invalid headers'
 
 
 def body_length(headers: HTTPHeaders) -> BodyLength:
-    """How the end of the body is found; duplicates are ambiguous.
+    """Determine how the body is delimited; duplicate headers are ambiguous.
 
     >>> body_length(HTTPHeaders({'Content-Length': '5'}))
-    <BodyLength.COUNTED: 'by its length'>
+    <BodyLength.COUNTED: 'by Content-Length'>
     """
     lengths = headers.get_list(_CONTENT_LENGTH)
     encodings = headers.get_list(_TRANSFER_ENCODING)
@@ -78,7 +78,7 @@
 
 
 def request_length(method: str, headers: HTTPHeaders) -> BodyLength:
-    """How the end of a request's body is found."""
+    """Determine how the body of a request is delimited."""
     length = body_length(headers)
     if length is BodyLength.UNTIL_CLOSE:
         return BodyLength.NONE
@@ -88,7 +88,7 @@
 
 
 def answer_length(method: str, status: int, headers: HTTPHeaders) -> BodyLength:
-    """How the end of an answer's body is found."""
+    """Determine how the body of an answer is delimited."""
     length = body_length(headers)
     if length is BodyLength.AMBIGUOUS:
         return length
@@ -97,10 +97,10 @@
     return length
 
 
-def kept_for(headers: HTTPHeaders) -> float | None:
-    """Seconds for which the other side keeps an idle connection, if it says.
+def keep_alive_timeout(headers: HTTPHeaders) -> float | None:
+    """Return the timeout in seconds of a ``Keep-Alive`` header, if present.
 
-    >>> kept_for(HTTPHeaders({'Keep-Alive': 'timeout=5, max=100'}))
+    >>> keep_alive_timeout(HTTPHeaders({'Keep-Alive': 'timeout=5, max=100'}))
     5.0
     """
     for part in headers.get('Keep-Alive', '').split(','):
@@ -111,13 +111,13 @@
 
 
 def end_to_end(headers: HTTPHeaders) -> HTTPHeaders:
-    """Copy the headers that are not meant for the next hop only."""
+    """Copy the headers without hop-by-hop and internal ones."""
     named = {
         name.strip().title()
         for line in headers.get_list('Connection')
         for name in line.split(',')
     }
-    drop = _HOP_BY_HOP | _INTERNAL | named
+    drop = _HOP_BY_HOP_HEADERS | _INTERNAL_HEADERS | named
     kept = HTTPHeaders()
     for name, text in headers.get_all():
         if name not in drop:
--- a/worksrail/daemon/http/_requests.py
+++ b/worksrail/daemon/http/_requests.py
@@ -1,4 +1,4 @@
-"""Runs the effects that concern requests."""
+"""Turns HTTP requests into events and runs the effects on requests."""
 
 import math
 from collections.abc import Callable
@@ -41,9 +41,9 @@
 from worksrail.daemon.http._connections import ConnectionPool
 from worksrail.daemon.http._exchange import Exchange
 
-_INVALID: Final = -1.0
-_HTTP: Final = 'HTTP/1.1'
-_SERVER_ERROR: Final = 500
+_INVALID_TIMEOUT: Final = -1.0
+_HTTP_VERSION: Final = 'HTTP/1.1'
+_MIN_SERVER_ERROR: Final = 500
 
 _OUTCOMES: Final = {
     AttemptEnd.NOT_SENT: AttemptOutcome.NOT_SENT,
@@ -55,7 +55,7 @@
     AttemptEnd.TIMED_OUT: AttemptOutcome.TIMED_OUT,
     AttemptEnd.CANCELLED: AttemptOutcome.CANCELLED,
 }
-_PASS_CODES: Final = {
+_PASS_FAILURE_CODES: Final = {
     AttemptEnd.NOT_SENT: ResultCode.PEER_UNREACHABLE,
     AttemptEnd.TIMED_OUT: ResultCode.UPSTREAM_TIMEOUT,
 }
@@ -63,10 +63,10 @@
 
 @dataclass(slots=True)
 class HttpRequests:
-    """The exchanges that are under way, by the number of their arrival."""
+    """Exchanges in progress, and the events and effects that concern them."""
 
     engine: Engine
-    """Takes the events."""
+    """Receives the events."""
 
     upstreams: ConnectionPool
     """Connections to upstreams."""
@@ -75,16 +75,16 @@
     """Connections to other instances."""
 
     signer: Callable[[], TicketSigner]
-    """Verifies tickets with the keys of the moment."""
+    """Returns a signer with the current ticket keys."""
 
     exchanges: dict[int, Exchange] = field(default_factory=dict)
-    """Exchanges under way."""
+    """Exchanges in progress, by the sequence number of their request."""
 
     # -- events
 
     def arrived(self, exchange: Exchange, *, trusted: bool = False) -> None:
-        """Make an event of a request."""
-        head = self._head(exchange, trusted=trusted)
+        """Dispatch the arrival of a request; invalid headers are refused."""
+        head = self._request_head(exchange, trusted=trusted)
         if isinstance(head, ResultCode):
             exchange.answer_result(head)
             return
@@ -100,7 +100,7 @@
         )
 
     def caller_gone(self, exchange: Exchange) -> None:
-        """Make an event of a caller's leaving."""
+        """Dispatch the disconnect of a caller."""
         if exchange.number in self.exchanges:
             self.engine.dispatch(CallerGone(self.engine.now(), exchange.number))
 
@@ -109,11 +109,11 @@
     def send_upstream(self, effect: SendUpstream) -> None:
         """Send a request to an upstream."""
         exchange = self.exchanges[effect.request]
-        left = effect.deadline - self.engine.now()
+        remaining = effect.deadline - self.engine.now()
         headers = names.end_to_end(exchange.headers)
         headers.pop(names.TICKET, None)
         headers[names.TRACE] = exchange.trace
-        headers[names.DEADLINE] = f'{left:.3f}'
+        headers[names.DEADLINE] = f'{remaining:.3f}'
         active = self.engine.instance.requests[effect.request]
         if active.home != self.engine.instance.place.region:
             headers[names.HOME] = active.home
@@ -132,10 +132,10 @@
     def pass_request(self, effect: PassRequest) -> None:
         """Pass a request to another instance."""
         exchange = self.exchanges[effect.request]
-        left = effect.deadline - self.engine.now()
+        remaining = effect.deadline - self.engine.now()
         headers = names.end_to_end(exchange.headers)
         headers[names.TRACE] = exchange.trace
-        headers[names.DEADLINE] = f'{left:.3f}'
+        headers[names.DEADLINE] = f'{remaining:.3f}'
         headers[names.HOME] = effect.home
         headers[names.CLIENT] = exchange.client
         passing = (
@@ -163,27 +163,27 @@
             )
 
     def cancel(self, effect: CancelRequest) -> None:
-        """Cut off what was sent for a request."""
+        """Cancel the attempt in progress for a request."""
         exchange = self.exchanges.get(effect.request)
         if exchange:
             exchange.cancel()
 
     def trace_of(self, number: int) -> str:
-        """Identifier of a request."""
+        """Return the trace identifier of a request; empty if it is unknown."""
         exchange = self.exchanges.get(number)
         return exchange.trace if exchange else ''
 
     # -- helpers
 
-    def _head(
+    def _request_head(
         self,
         exchange: Exchange,
         *,
         trusted: bool,
     ) -> RequestHead | ResultCode:
         headers = exchange.headers
-        timeout = _timeout(headers.get(names.DEADLINE))
-        if timeout == _INVALID:
+        timeout = _parse_timeout(headers.get(names.DEADLINE))
+        if timeout == _INVALID_TIMEOUT:
             return ResultCode.INVALID_DEADLINE
         text = headers.get(names.TICKET)
         ticket = self.signer().verify(text) if text else NoTicket.NOT_GIVEN
@@ -207,7 +207,7 @@
 
     def _start_line(self, exchange: Exchange) -> httputil.RequestStartLine:
         return httputil.RequestStartLine(
-            exchange.start.method, exchange.start.path, _HTTP
+            exchange.start.method, exchange.start.path, _HTTP_VERSION
         )
 
     async def _attempt_upstream(
@@ -215,48 +215,48 @@
         exchange: Exchange,
         outgoing: Outgoing,
     ) -> None:
-        report = await self._attempt(self.upstreams, exchange, outgoing)
+        report = await self._run_attempt(self.upstreams, exchange, outgoing)
         outcome = _OUTCOMES[report.end]
         if report.end is AttemptEnd.WHOLE and names.NOT_RUN in report.headers:
             outcome = AttemptOutcome.SHED
-        self._conclude(exchange, outcome)
+        self._abort_partial_answer(exchange, outcome)
         self.engine.dispatch(
             AttemptEnded(
                 self.engine.now(),
                 exchange.number,
                 outcome,
-                _load(report.headers),
-                report.status >= _SERVER_ERROR,
-                self._rewound(exchange),
-                _limit(report, self.engine.now()),
+                _parse_load(report.headers),
+                report.status >= _MIN_SERVER_ERROR,
+                self._rewind_body(exchange),
+                _parse_limit(report, self.engine.now()),
             )
         )
-        self._forget(exchange)
+        self._discard_finished(exchange)
 
     async def _attempt_passing(
         self,
         exchange: Exchange,
         outgoing: Outgoing,
     ) -> None:
-        report = await self._attempt(self.peers, exchange, outgoing)
-        code = _pass_code(report)
+        report = await self._run_attempt(self.peers, exchange, outgoing)
+        code = _pass_result(report)
         if code is ResultCode.OK:
-            self._conclude(exchange, AttemptOutcome.ANSWERED)
+            self._abort_partial_answer(exchange, AttemptOutcome.ANSWERED)
         elif report.end is AttemptEnd.CUT_ANSWER:
-            self._conclude(exchange, AttemptOutcome.BROKE_IN_ANSWER)
-        retry_after = _timeout(report.headers.get(names.RETRY_AFTER)) or 0
+            self._abort_partial_answer(exchange, AttemptOutcome.BROKE_IN_ANSWER)
+        retry_after = _parse_timeout(report.headers.get(names.RETRY_AFTER)) or 0
         self.engine.dispatch(
             PassEnded(
                 self.engine.now(),
                 exchange.number,
                 code,
                 max(0, retry_after),
-                self._rewound(exchange),
+                self._rewind_body(exchange),
             )
         )
-        self._forget(exchange)
+        self._discard_finished(exchange)
 
-    async def _attempt(
+    async def _run_attempt(
         self,
         pool: ConnectionPool,
         exchange: Exchange,
@@ -267,17 +267,19 @@
         )
         return await attempt.run()
 
-    def _rewound(self, exchange: Exchange) -> bool:
+    def _rewind_body(self, exchange: Exchange) -> bool:
         if exchange.begun or not exchange.body.replayable:
             return False
         exchange.body.rewind()
         return True
 
-    def _conclude(self, exchange: Exchange, outcome: AttemptOutcome) -> None:
+    def _abort_partial_answer(
+        self, exchange: Exchange, outcome: AttemptOutcome
+    ) -> None:
         if outcome is AttemptOutcome.BROKE_IN_ANSWER and exchange.begun:
             exchange.break_off()
 
-    def _forget(self, exchange: Exchange) -> None:
+    def _discard_finished(self, exchange: Exchange) -> None:
         if exchange.ended or exchange.gone:
             if exchange.number not in self.engine.instance.requests:
                 self.exchanges.pop(exchange.number, None)
@@ -285,21 +287,23 @@
 
 def _key_digest(headers: httputil.HTTPHeaders) -> KeyDigest:
     key = headers.get(names.API_KEY)
-    # Headers are decoded byte by byte.
+    # Tornado decodes headers as Latin-1.
     return digest_of_key(key.encode('latin-1')) if key else ''
 
 
-def _timeout(text: str | None) -> float | None:
+def _parse_timeout(text: str | None) -> float | None:
     if text is None:
         return None
     try:
         seconds = float(text)
     except ValueError:
-        return _INVALID
-    return seconds if math.isfinite(seconds) and seconds >= 0 else _INVALID
+        return _INVALID_TIMEOUT
+    return (
+        seconds if math.isfinite(seconds) and seconds >= 0 else _INVALID_TIMEOUT
+    )
 
 
-def _load(headers: httputil.HTTPHeaders) -> float | None:
+def _parse_load(headers: httputil.HTTPHeaders) -> float | None:
     text = headers.get(names.LOAD)
     if not text:
         return None
@@ -310,16 +314,16 @@
         return None
 
 
-def _limit(report: AttemptReport, now: float) -> NamedLimit | None:
+def _parse_limit(report: AttemptReport, now: float) -> NamedLimit | None:
     if not report.status:
         return None
     texts = report.headers.get_list(names.RATE_LIMIT)
     return NamedLimit(read_rate(texts), now)
 
 
-def _pass_code(report: AttemptReport) -> ResultCode:
+def _pass_result(report: AttemptReport) -> ResultCode:
     if report.end is not AttemptEnd.WHOLE:
-        return _PASS_CODES.get(report.end, ResultCode.PEER_BROKE)
+        return _PASS_FAILURE_CODES.get(report.end, ResultCode.PEER_BROKE)
     try:
         return code_by_number(int(report.headers.get(names.RESULT, '')))
     except ValueError:
--- a/worksrail/daemon/http/_server.py
+++ b/worksrail/daemon/http/_server.py
@@ -1,4 +1,4 @@
-"""The server side of HTTP: connections, limits, malformed messages."""
+"""HTTP server: connections, limits and malformed messages."""
 
 import uuid
 from collections.abc import Iterator
@@ -19,52 +19,52 @@
 from worksrail.daemon.http._dialect import CallerDialect, OwnDialect
 from worksrail.daemon.http._exchange import Exchange, result_payload
 
-_BARE_BAD_REQUEST: Final = b'HTTP/1.1 400 Bad Request\r\n\r\n'
-_HARD_HEADER_LIMIT: Final = 1_048_576
-_TRACE_LIMIT: Final = 128
-_BODY_BYTES: Final = 67_108_864
+_EMPTY_BAD_REQUEST: Final = b'HTTP/1.1 400 Bad Request\r\n\r\n'
+_MAX_PARSED_HEADER_BYTES: Final = 1_048_576
+_MAX_TRACE_LENGTH: Final = 128
+_MAX_BODY_BYTES: Final = 67_108_864
 _OWN: Final = OwnDialect()
 
 
 @dataclass(frozen=True, slots=True)
 class HttpLimits:
-    """Limits on what one peer may cost."""
+    """Limits on the resources that connections and requests may use."""
 
     header_bytes: int = 32_768
-    """Largest header block."""
+    """Maximum size of a header block."""
 
-    body_bytes: int = _BODY_BYTES
-    """Largest request body."""
+    body_bytes: int = _MAX_BODY_BYTES
+    """Maximum size of a request body."""
 
     connections: int = 2048
-    """Most open connections."""
+    """Maximum number of open connections."""
 
     header_seconds: float = 60
-    """Longest time to wait for the next request on a connection."""
+    """Timeout in seconds for the next request on a connection."""
 
     body_seconds: float = 60
-    """Longest time for a request body to arrive."""
+    """Timeout in seconds for receiving a request body."""
 
 
 class ExchangeHandler(Protocol):
-    """Who takes requests and hears when callers go away."""
+    """Handles requests and the disconnects of callers."""
 
     def arrived(self, exchange: Exchange) -> None:
-        """A request's headers have arrived and are well formed."""
+        """Handle a request whose headers are valid."""
 
     def caller_gone(self, exchange: Exchange) -> None:
-        """The caller went away before its answer was complete."""
+        """Handle a caller that disconnected before its answer was complete."""
 
 
 @dataclass(slots=True)
 class _RequestReader(httputil.HTTPMessageDelegate):
-    """Reads one request and hands it to the handler."""
+    """Reads one request and passes it to the handler."""
 
     server: 'ExchangeServer'
     connection: httputil.HTTPConnection
     client: str
     exchange: Exchange | None = None
-    handed_over: bool = False
+    dispatched: bool = False
     streamed: bool = False
 
     def headers_received(
@@ -72,11 +72,11 @@
         start_line: httputil.RequestStartLine | httputil.ResponseStartLine,
         headers: httputil.HTTPHeaders,
     ) -> None:
-        """Check the head of the request and hand it on."""
+        """Validate the head of a request and create its exchange."""
         if not isinstance(start_line, httputil.RequestStartLine):
-            raise TypeError('expected the start of a request')
+            raise TypeError('expected a request start line')
         dialect = self.server.dialect
-        trace = dialect.trace_of(headers)[:_TRACE_LIMIT]
+        trace = dialect.trace_of(headers)[:_MAX_TRACE_LENGTH]
         exchange = Exchange(
             self.connection,
             start_line,
@@ -87,52 +87,52 @@
             dialect=dialect,
         )
         self.exchange = exchange
-        fault = self._fault(start_line, headers)
+        fault = self._validate(start_line, headers)
         if fault:
             exchange.answer_result(fault)
             return
         closing = getattr(self.connection, 'set_close_callback', None)
         if closing:
             closing(self.on_connection_close)
-        # An answer before the end of the body costs the connection, so a
-        # small body is read first; only a large one is streamed.
+        # After an answer before the end of the body the connection must be
+        # closed, so a small body is read first and only a large one streamed.
         self.streamed = int(headers.get('Content-Length', '0')) > REPLAY_LIMIT
 
     async def data_received(self, chunk: bytes) -> None:  # type: ignore
-        """Take a part of the body."""
+        """Add a part of the body."""
         exchange = self.exchange
         if exchange is None or exchange.ended:
             return
         body = exchange.body
-        body.note_lead(chunk)
-        known = self.streamed and body.has_lead
-        if known or body.size + len(chunk) > REPLAY_LIMIT:
-            self._hand_over()
+        body.record_prefix(chunk)
+        prefix_complete = self.streamed and body.has_prefix
+        if prefix_complete or body.size + len(chunk) > REPLAY_LIMIT:
+            self._dispatch()
         await body.feed(chunk)
 
     def finish(self) -> None:
-        """The body is complete."""
+        """Complete the body."""
         if self.exchange:
             self.exchange.body.end()
-            self._hand_over()
+            self._dispatch()
 
     def on_connection_close(self) -> None:
-        """The caller went away."""
+        """Handle the disconnect of the caller."""
         exchange = self.exchange
         if exchange is None or exchange.gone:
             return
         exchange.gone = True
         exchange.body.break_off()
-        if self.handed_over and not exchange.ended:
+        if self.dispatched and not exchange.ended:
             self.server.handler.caller_gone(exchange)
 
-    def _hand_over(self) -> None:
+    def _dispatch(self) -> None:
         exchange = self.exchange
-        if exchange and not self.handed_over and not exchange.ended:
-            self.handed_over = True
+        if exchange and not self.dispatched and not exchange.ended:
+            self.dispatched = True
             self.server.handler.arrived(exchange)
 
-    def _fault(
+    def _validate(
         self,
         start: httputil.RequestStartLine,
         headers: httputil.HTTPHeaders,
@@ -155,7 +155,7 @@
 
 
 class ExchangeServer(TCPServer, httputil.HTTPServerConnectionDelegate):
-    """Accepts connections and makes an exchange of every request."""
+    """Accepts connections and creates an exchange for each request."""
 
     def __init__(
         self,
@@ -165,10 +165,11 @@
         dialect: CallerDialect = _OWN,
         **options: Any,
     ) -> None:
-        """Prepare a server; it listens once sockets are added.
+        """Create a server; it listens once sockets are added.
 
-        Servers of one process share the numbers of their arrivals.  The
-        limits may be replaced; connections keep those they began with.
+        All servers of a process draw request numbers from one iterator.
+        ``limits`` may be replaced; open connections keep the timeouts and the
+        parser limits that they began with.
         """
         super().__init__(**options)
         self.handler = handler
@@ -178,16 +179,16 @@
         self.connections: set[HTTP1ServerConnection] = set()
 
     def handle_stream(self, stream: IOStream, address: Any) -> None:
-        """Serve a connection, unless there are too many."""
+        """Serve a connection, or close it if there are too many."""
         if len(self.connections) >= self.limits.connections:
             stream.close()
             return
-        number_bare_answers(stream)
+        add_result_to_bad_requests(stream)
         stream.set_nodelay(True)
         parameters = HTTP1ConnectionParameters(
             header_timeout=self.limits.header_seconds,
             body_timeout=self.limits.body_seconds,
-            max_header_size=_HARD_HEADER_LIMIT,
+            max_header_size=_MAX_PARSED_HEADER_BYTES,
             max_body_size=self.limits.body_bytes,
         )
         server_connection = HTTP1ServerConnection(
@@ -201,12 +202,12 @@
         server_conn: object,
         request_conn: httputil.HTTPConnection,
     ) -> httputil.HTTPMessageDelegate:
-        """Read the next request of a connection."""
+        """Return a reader for the next request of a connection."""
         client = getattr(server_conn, 'context', '')
         return _RequestReader(self, request_conn, client)
 
     def on_close(self, server_conn: object) -> None:
-        """Forget a closed connection."""
+        """Remove a closed connection."""
         self.connections.discard(server_conn)  # type: ignore[arg-type]
 
     async def close_connections(self) -> None:
@@ -215,15 +216,15 @@
             await connection.close()
 
 
-def number_bare_answers(stream: IOStream) -> None:
-    """Put a result code into the answer to a malformed message.
+def add_result_to_bad_requests(stream: IOStream) -> None:
+    """Add a result code to the answer to a malformed message.
 
-    The HTTP library writes a bare status line by itself and closes; it has
-    no place to hook in, so the bytes are replaced on their way.
+    Tornado writes an empty 400 answer and closes the connection.  It has no
+    hook for this, so the bytes are replaced when they are written.
     """
     write = stream.write
     payload = result_payload(ResultCode.MALFORMED_REQUEST, '')
-    numbered = b'\r\n'.join(
+    with_result = b'\r\n'.join(
         (
             b'HTTP/1.1 400 Bad Request',
             b'Content-Type: application/json',
@@ -236,7 +237,7 @@
         )
     )
 
-    def write_numbered(data: Any) -> Any:
-        return write(numbered if data == _BARE_BAD_REQUEST else data)
+    def write_with_result(data: Any) -> Any:
+        return write(with_result if data == _EMPTY_BAD_REQUEST else data)
 
-    stream.write = write_numbered  # type: ignore[method-assign]
+    stream.write = write_with_result  # type: ignore[method-assign]
