--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -1,8 +1,8 @@
-"""What an instance reads from the platform around a silence of its store.
+"""Reads from the platform around an outage of its store.
 
-Found while the cause of an incident on the users' platform was looked for
-elsewhere: a watch that was begun while the store was silent was given up only
-after 12 s, and a change whose object could not be read was never read again.
+The tests guard against two faults found during an incident on a platform: a
+watch started while the store did not respond timed out only after 12 s, and
+a changed object was never read again once its first read had failed.
 """
 
 import asyncio
@@ -17,15 +17,15 @@
 from worksrail.daemon._engine import Engine
 from worksrail.daemon._settings import DaemonSettings, load_settings
 from worksrail.daemon.main import Daemon
-from worksrail.daemon.platform._duties import PlatformDuties
 from worksrail.daemon.platform._records import HEAD_KEY, Generation, Head
 from worksrail.daemon.platform._store import (
     StoredObject,
     StoreFault,
     WatchReport,
 )
+from worksrail.daemon.platform._sync import PlatformSync
 
-_LIMIT = 2.0
+_TIMEOUT = 2.0
 _STEP = 0.01
 _SETTINGS = {
     'name': 'one',
@@ -41,35 +41,35 @@
 }
 
 
-class SilentStore:
-    """Holds the head, and answers nothing for a while."""
+class UnresponsiveStore:
+    """Store with a head record that does not respond during outages."""
 
-    def __init__(self, *, forgets: bool) -> None:
-        """Begin at the first generation."""
-        self.forgets = forgets
-        self.silent = False
-        self.silences = 0
+    def __init__(self, *, loses_watches: bool) -> None:
+        """Create a store at generation one."""
+        self.loses_watches = loses_watches
+        self.unresponsive = False
+        self.outages = 0
         self.failing_reads = 0
         self.generation = 1
 
     async def read(self, key: str) -> StoredObject | StoreFault:
         """Read an object."""
-        return await at_most(_LIMIT, self._read(key), StoreFault.UNREACHABLE)
+        return await at_most(_TIMEOUT, self._read(key), StoreFault.UNREACHABLE)
 
     async def watch(self, since: int, seconds: float) -> Any:
         """Wait for a change."""
         return await at_most(
-            seconds + _LIMIT,
+            seconds + _TIMEOUT,
             self._watch(since, seconds),
             StoreFault.UNREACHABLE,
         )
 
     async def instances(self) -> Any:
-        """Nobody else is listed."""
+        """Return an empty list."""
         return ()
 
     async def _read(self, key: str) -> StoredObject | StoreFault:
-        await self._be_heard()
+        await self._respond()
         if key != HEAD_KEY:
             return StoreFault.NOT_FOUND
         if self.failing_reads:
@@ -85,20 +85,20 @@
         return StoredObject(self.generation, msgspec.json.encode(head))
 
     async def _watch(self, since: int, seconds: float) -> WatchReport:
-        await self._be_heard()
-        silences, end = self.silences, _now() + seconds
-        while self.silent or self.generation <= since:
-            if _now() >= end and not self.silent:
+        await self._respond()
+        outages, end = self.outages, _now() + seconds
+        while self.unresponsive or self.generation <= since:
+            if _now() >= end and not self.unresponsive:
                 break
             await asyncio.sleep(_STEP)
-        if self.forgets and silences != self.silences:
+        if self.loses_watches and outages != self.outages:
             await asyncio.Event().wait()
         changed = (HEAD_KEY,) if self.generation > since else ()
         return WatchReport(self.generation, changed)
 
-    async def _be_heard(self) -> None:
+    async def _respond(self) -> None:
         await asyncio.sleep(_STEP)
-        if self.silent:
+        if self.unresponsive:
             await asyncio.Event().wait()
 
 
@@ -106,65 +106,65 @@
     return asyncio.get_running_loop().time()
 
 
-class Recorder:
-    """Takes the events of the duties in the engine's place."""
+class FakeEngine:
+    """Receives the events in place of an engine."""
 
     def __init__(self, engine: Engine) -> None:
-        """Stand in for an engine."""
+        """Share the state and the clock of an engine."""
         self.instance = engine.instance
-        # An instance without any bundle reads the head all the time.
+        # An instance without a topology polls the head; one with it doesn't.
         self.instance.configuration.topology = Mock()
         self.now = engine.now
         self.seen: list[int] = []
 
     def dispatch(self, event: Event) -> None:
-        """Keep the generations that were read."""
+        """Record the generations that were read."""
         if isinstance(event, HeadSeen):
             self.seen.append(event.generation)
 
 
-def _watching(store: SilentStore) -> tuple[PlatformDuties, list[int]]:
-    """Duties on a store, and the generations that they read."""
+def _start_sync(store: UnresponsiveStore) -> tuple[PlatformSync, list[int]]:
+    """Start a sync with a store; return it and the generations it reads."""
     settings = load_settings(_SETTINGS, {})
     assert isinstance(settings, DaemonSettings)
-    duties = Daemon.from_settings(settings).duties
-    recorder = Recorder(duties.engine)
-    duties.store = store
-    duties.engine = recorder
-    duties.start()
-    return duties, recorder.seen
-
-
-@pytest.mark.parametrize('forgets', [False, True])
-@pytest.mark.parametrize('silent_for', [0.5, 3, 8])
-@pytest.mark.parametrize('after', [2, 9])
-def test_roll_after_a_silence_is_seen_soon(
-    after: float, silent_for: float, forgets: bool
+    sync = Daemon.from_settings(settings).sync
+    recorder = FakeEngine(sync.engine)
+    sync.store = store
+    sync.engine = recorder
+    sync.start()
+    return sync, recorder.seen
+
+
+@pytest.mark.parametrize('loses_watches', [False, True])
+@pytest.mark.parametrize('outage', [0.5, 3, 8])
+@pytest.mark.parametrize('outage_at', [2, 9])
+def test_generation_rolled_after_an_outage_is_read_soon(
+    outage_at: float, outage: float, loses_watches: bool
 ) -> None:
-    async def play() -> list[int]:
-        store = SilentStore(forgets=forgets)
-        duties, seen = _watching(store)
-        await asyncio.sleep(after)
-        store.silent, store.silences = True, 1
-        await asyncio.sleep(silent_for)
-        store.silent = False
+    async def run() -> list[int]:
+        store = UnresponsiveStore(loses_watches=loses_watches)
+        sync, seen = _start_sync(store)
+        await asyncio.sleep(outage_at)
+        store.unresponsive, store.outages = True, 1
+        await asyncio.sleep(outage)
+        store.unresponsive = False
         await asyncio.sleep(3)
         store.generation = 2
         await asyncio.sleep(2.5)
-        duties.stop()
+        sync.stop()
         return seen
 
-    assert run_virtually(play())[-1] == 2
+    assert run_virtually(run())[-1] == 2
 
 
-def test_roll_that_could_not_be_read_is_read_again() -> None:
-    async def play() -> list[int]:
-        store = SilentStore(forgets=False)
-        duties, seen = _watching(store)
+def test_failed_read_of_a_new_generation_is_repeated() -> None:
+    async def run() -> list[int]:
+        store = UnresponsiveStore(loses_watches=False)
+        sync, seen = _start_sync(store)
         await asyncio.sleep(2)
         store.failing_reads, store.generation = 1, 2
         await asyncio.sleep(2)
-        duties.stop()
+        sync.stop()
         return seen
 
-    assert run_virtually(play())[-1] == 2
+    assert run_virtually(run())[-1] == 2
--- a/worksrail/daemon/http/_connections.py
+++ b/worksrail/daemon/http/_connections.py
@@ -99,7 +99,7 @@
         return Acquired(stream, 0, self.clock() - began)
 
     def record_failure(self, acquired: Acquired, sent_for: float) -> None:
-        """Record a failure without an answer, given the seconds since sending."""
+        """Record a failure without an answer after ``sent_for`` seconds."""
         if not acquired.idle_for or sent_for > _STALE_FAILURE_TIME:
             return
         now = self.clock()
--- a/worksrail/daemon/main.py
+++ b/worksrail/daemon/main.py
@@ -54,8 +54,8 @@
 )
 from worksrail.daemon.operators._desk import Desk
 from worksrail.daemon.platform._chunks import ChunkCache
-from worksrail.daemon.platform._duties import PlatformDuties
 from worksrail.daemon.platform._store import StoreClient
+from worksrail.daemon.platform._sync import PlatformSync
 
 _LOG: Final = Logger('worksrail.daemon')
 _RELOAD_INTERVAL: Final = 1.0
@@ -80,7 +80,7 @@
     peers: PeerClient
     """Messages to other instances."""
 
-    duties: PlatformDuties
+    sync: PlatformSync
     """Reads from the platform."""
 
     desk: Desk
@@ -134,17 +134,15 @@
         )
         cache = ChunkCache()
         seeds = tuple(seed for seed in settings.seeds.split(',') if seed)
-        duties = PlatformDuties(engine, store, peers, cache, seeds)
-        engine.connect(requests, peers, duties)
+        sync = PlatformSync(engine, store, peers, cache, seeds)
+        engine.connect(requests, peers, sync)
         desk = Desk(engine, store, cache)
-        return cls(
-            settings, engine, requests, peers, duties, desk, tls, stopped
-        )
+        return cls(settings, engine, requests, peers, sync, desk, tls, stopped)
 
     async def run(self) -> None:
         """Serve until a graceful stop is complete."""
         await self._listen()
-        self.duties.start()
+        self.sync.start()
         self.tasks = [
             asyncio.ensure_future(self._tick()),
             asyncio.ensure_future(self._reload()),
@@ -200,7 +198,7 @@
             application, max_body_size=_OPERATOR_BODY
         )
         _listen_at(self.operator_server, settings.operator)
-        service = PeerService(self.engine, self.duties.cache.read)
+        service = PeerService(self.engine, self.sync.cache.read)
         self.peer_server = await start_peer_server(
             service, settings.peer, self.tls.server if self.tls else None
         )
@@ -219,7 +217,7 @@
         _LOG.info('leaving')
         for task in self.tasks:
             task.cancel()
-        self.duties.stop()
+        self.sync.stop()
         await self.peers.flush(_FLUSH_TIME)
         for server in (
             self.caller_server,
--- a/worksrail/daemon/platform/__init__.py
+++ b/worksrail/daemon/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's services: object store, list of instances."""
+"""Access to the platform's object store and its list of instances."""
--- a/worksrail/daemon/platform/_chunks.py
+++ b/worksrail/daemon/platform/_chunks.py
@@ -1,4 +1,4 @@
-"""Chunks of bundles: kept for others, fetched from others or the store."""
+"""Cache of bundle chunks, filled from other instances or from the store."""
 
 from collections.abc import Awaitable, Callable, Iterator
 from dataclasses import dataclass, field
@@ -12,7 +12,7 @@
     unpack_bundle,
 )
 
-_BUNDLES_KEPT: Final = 3
+_MAX_BUNDLES: Final = 3
 
 ChunkSource = Callable[[str], Awaitable[bytes | None]]
 
@@ -21,7 +21,7 @@
 class ChunkCache:
     """The chunks of the last few bundles.
 
-    A change of configuration fetches only chunks that are not here.
+    After a change of configuration only missing chunks are fetched.
     """
 
     bundles: dict[str, list[str]] = field(default_factory=dict)
@@ -31,13 +31,13 @@
     """Chunks by digest."""
 
     fetched: int = 0
-    """Chunks fetched so far."""
+    """Number of chunks fetched so far."""
 
     fetched_bytes: int = 0
-    """Bytes of chunks fetched so far."""
+    """Total size of the chunks fetched so far."""
 
     def read(self, digest: str) -> bytes | None:
-        """A chunk, if it is here."""
+        """Return a chunk, or None if it is not cached."""
         return self.chunks.get(digest)
 
     async def fetch(
@@ -45,38 +45,38 @@
         digest: str,
         sources: list[ChunkSource],
     ) -> Bundle | NoBundle:
-        """Bring a bundle here and put it together."""
-        listed: list[str] = []
-        fault = await self._fetch_below(digest, sources, listed)
+        """Fetch the missing chunks of a bundle and assemble it."""
+        digests: list[str] = []
+        fault = await self._fetch_subtree(digest, sources, digests)
         if fault:
             return fault
         bundle = unpack_bundle(digest, self.read)
         if isinstance(bundle, Bundle):
-            self._keep(digest, listed)
+            self._add_bundle(digest, digests)
         return bundle
 
-    async def _fetch_below(
+    async def _fetch_subtree(
         self,
         digest: str,
         sources: list[ChunkSource],
-        listed: list[str],
+        digests: list[str],
     ) -> NoBundle | None:
         payload = await self._chunk(digest, sources)
         if payload is None:
             return NoBundle.MISSING_CHUNK
-        listed.append(digest)
+        digests.append(digest)
         node = read_node(payload)
         if isinstance(node, NoBundle):
             return node
         if node.level:
             for below in node.below:
-                fault = await self._fetch_below(below, sources, listed)
+                fault = await self._fetch_subtree(below, sources, digests)
                 if fault:
                     return fault
             return None
-        listed.extend(node.below)
-        found = [await self._chunk(leaf, sources) for leaf in node.below]
-        return NoBundle.MISSING_CHUNK if None in found else None
+        digests.extend(node.below)
+        payloads = [await self._chunk(leaf, sources) for leaf in node.below]
+        return NoBundle.MISSING_CHUNK if None in payloads else None
 
     async def _chunk(
         self,
@@ -95,15 +95,15 @@
                 return payload
         return None
 
-    def _keep(self, digest: str, listed: list[str]) -> None:
+    def _add_bundle(self, digest: str, digests: list[str]) -> None:
         self.bundles.pop(digest, None)
-        self.bundles[digest] = listed
-        while len(self.bundles) > _BUNDLES_KEPT:
+        self.bundles[digest] = digests
+        while len(self.bundles) > _MAX_BUNDLES:
             self.bundles.pop(next(iter(self.bundles)))
-        needed = set(self._needed())
-        for chunk in self.chunks.keys() - needed:
+        referenced = set(self._referenced_chunks())
+        for chunk in self.chunks.keys() - referenced:
             self.chunks.pop(chunk)
 
-    def _needed(self) -> Iterator[str]:
-        for listed in self.bundles.values():
-            yield from listed
+    def _referenced_chunks(self) -> Iterator[str]:
+        for digests in self.bundles.values():
+            yield from digests
--- a/worksrail/daemon/platform/_records.py
+++ b/worksrail/daemon/platform/_records.py
@@ -1,4 +1,4 @@
-"""Objects that worksrail keeps in the platform's store."""
+"""Records that worksrail keeps in the platform's object store."""
 
 from typing import Annotated, Final, TypeVar
 
@@ -8,124 +8,124 @@
 
 HEAD_KEY: Final = 'head'
 DRAINS_KEY: Final = 'drains'
-_HISTORY_LIMIT: Final = 500
+_MAX_HISTORY: Final = 500
 
 
 def seats_key(region: str) -> str:
-    """Key of a region's seat table."""
+    """Return the key of a region's seat table."""
     return f'seats/{region}'
 
 
 def chunk_key(digest: str) -> str:
-    """Key of a bundle's chunk."""
+    """Return the key of a bundle chunk."""
     return f'chunks/{digest}'
 
 
 def submission_key(digest: str) -> str:
-    """Key of the record that a bundle was submitted."""
+    """Return the key of a bundle's submission record."""
     return f'bundles/{digest}'
 
 
 def approval_key(digest: str) -> str:
-    """Key of the record that a bundle was approved."""
+    """Return the key of a bundle's approval record."""
     return f'approvals/{digest}'
 
 
 class Submission(msgspec.Struct, frozen=True):
-    """A bundle was submitted."""
+    """Record of a submitted bundle."""
 
     digest: str
     """Digest of the bundle."""
 
     name: str
-    """Name of the deployment."""
+    """Name of the deployment that the bundle configures."""
 
     submitter: str
-    """Who submitted it."""
+    """Operator who submitted it."""
 
     at: float
-    """When, in seconds since the epoch."""
+    """Time in seconds since the epoch."""
 
 
 class Approval(msgspec.Struct, frozen=True):
-    """A bundle was approved."""
+    """Record of an approved bundle."""
 
     digest: str
-    """Digest that was reviewed."""
+    """Digest of the reviewed bundle."""
 
     approver: str
-    """Who approved it."""
+    """Operator who approved it."""
 
     at: float
-    """When, in seconds since the epoch."""
+    """Time in seconds since the epoch."""
 
 
 class Generation(msgspec.Struct, frozen=True):
-    """One roll of a bundle."""
+    """One rollout of a bundle."""
 
     generation: int
-    """Its number."""
+    """Generation number."""
 
     digest: str
     """Digest of the bundle."""
 
     base: int
-    """Generation it replaced."""
+    """Generation that it replaced."""
 
     operation: str
-    """Operation id of the roll."""
+    """Operation id of the rollout."""
 
     submitter: str
-    """Who submitted the bundle."""
+    """Operator who submitted the bundle."""
 
     approver: str
-    """Who approved it."""
+    """Operator who approved it."""
 
     roller: str
-    """Who rolled it."""
+    """Operator who rolled it out."""
 
     at: float
-    """When, in seconds since the epoch."""
+    """Time in seconds since the epoch."""
 
 
 class Head(msgspec.Struct, frozen=True):
-    """The configuration in force and what came before."""
+    """The configuration in force and its history."""
 
     history: Annotated[tuple[Generation, ...], msgspec.Meta(min_length=1)]
-    """Generations, newest last."""
+    """Generations, oldest first."""
 
     @property
     def newest(self) -> Generation:
-        """The generation in force."""
+        """Return the generation in force."""
         return self.history[-1]
 
     def find(self, operation: str) -> Generation | None:
-        """The generation that an operation made."""
+        """Return the generation created by an operation, or None."""
         for entry in self.history:
             if entry.operation == operation:
                 return entry
         return None
 
     def extended(self, entry: Generation) -> 'Head':
-        """The head with a new generation."""
-        return Head((*self.history, entry)[-_HISTORY_LIMIT:])
+        """Return a head with a new generation added."""
+        return Head((*self.history, entry)[-_MAX_HISTORY:])
 
 
 class DrainList(msgspec.Struct, frozen=True):
-    """Planned drains that operators asked for."""
+    """Drains requested by operators."""
 
     revision: int
-    """Grows with each change."""
+    """Revision, incremented by each change."""
 
     targets: tuple[str, ...]
-    """``kind/name`` of each drain."""
+    """Targets of the drains, as ``kind/name``."""
 
     changed_by: str
-    """Who made the last change."""
+    """Operator who made the last change."""
 
 
 class CorruptObject(ValueError):
-    """An object in the store is not one of ours, or is damaged."""
+    """An object in the store is not a valid record."""
 
 
 def encode(record: msgspec.Struct) -> bytes:
--- a/worksrail/daemon/platform/_store.py
+++ b/worksrail/daemon/platform/_store.py
@@ -14,15 +14,15 @@
 from worksrail.core.membership import ListedInstance
 
 _TIMEOUT: Final = 2.0
-_MAX_BODY: Final = 4 * 1024 * 1024
-_CONNECTIONS: Final = 32
+_MAX_BODY_BYTES: Final = 4 * 1024 * 1024
+_MAX_CONNECTIONS: Final = 32
 _NOT_FOUND: Final = 404
 _CONFLICT: Final = 409
 
 
 @unique
 class StoreFault(Enum):
-    """Sentinel: why the store gave nothing."""
+    """Sentinel: why the store returned no object."""
 
     UNREACHABLE = 'no answer, or an answer that makes no sense'
     NOT_FOUND = 'no such object'
@@ -30,63 +30,63 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredObject:
-    """An object as it was read."""
+    """An object read from the store."""
 
     version: int
-    """Version for conditional updates."""
+    """Version to use in conditional updates."""
 
     payload: bytes
-    """Its bytes."""
+    """Content of the object."""
 
 
 @dataclass(frozen=True, slots=True)
 class WriteReport:
-    """How a conditional update ended."""
+    """Result of a conditional update."""
 
     outcome: WriteOutcome
-    """Done, conflict or unknown."""
+    """Whether the update was done, conflicted or is unknown."""
 
     version: int = 0
-    """New version, when done."""
+    """New version if the update was done."""
 
 
 @dataclass(frozen=True, slots=True)
 class WatchReport:
-    """What a watch reported."""
+    """Result of a watch."""
 
     revision: int
-    """Revision to go on from."""
+    """Revision from which to continue."""
 
     keys: tuple[str, ...]
-    """Objects that changed."""
+    """Keys of the objects that changed."""
 
 
-def _no_count(kind: str) -> None:
-    """Count nothing."""
+def _ignore_call(kind: str) -> None:
+    """Do nothing; the default for :attr:`StoreClient.count`."""
 
 
 @dataclass(slots=True)
 class StoreClient:
     """Reads, conditionally updates and watches objects.
 
-    Every call has a time limit and gives a sentinel instead of raising, so
-    that no caller forgets that the store can be down.
+    Every call has a timeout and returns a sentinel instead of raising, so that
+    the type checker makes each use handle an unavailable store.
     """
 
     address: str
-    """IP number and port."""
+    """IP address and port."""
 
-    count: Callable[[str], None] = _no_count
-    """Counts calls by kind."""
+    count: Callable[[str], None] = _ignore_call
+    """Called with the kind of each call, to count it."""
 
     http: SimpleAsyncHTTPClient = field(
         default_factory=lambda: SimpleAsyncHTTPClient(
             force_instance=True,
-            max_clients=_CONNECTIONS,
-            max_body_size=_MAX_BODY,
+            max_clients=_MAX_CONNECTIONS,
+            max_body_size=_MAX_BODY_BYTES,
         )
     )
-    """Makes the calls."""
+    """HTTP client."""
 
     async def read(self, key: str) -> StoredObject | StoreFault:
         """Read an object."""
@@ -109,7 +109,7 @@
         payload: bytes,
         expected: int,
     ) -> WriteReport:
-        """Write an object if it still has a version; zero creates it."""
+        """Write an object if its version is as expected; zero creates it."""
         self.count('write')
         try:
             answer = await self.http.fetch(
@@ -128,7 +128,7 @@
         return WriteReport(WriteOutcome.DONE, version)
 
     async def keys(self, prefix: str) -> list[str] | StoreFault:
-        """Names of the objects with a prefix."""
+        """Return the keys with a prefix."""
         self.count('read')
         document = await self._json(
             f'http://{self.address}/keys?prefix={quote(prefix)}', _TIMEOUT
@@ -142,7 +142,7 @@
         since: int,
         seconds: float,
     ) -> WatchReport | StoreFault:
-        """Wait until something changes after a revision."""
+        """Wait for changes after a revision, for at most some seconds."""
         self.count('watch')
         url = f'http://{self.address}/watch?since={since}&seconds={seconds}'
         document = await self._json(url, seconds + _TIMEOUT)
@@ -155,7 +155,7 @@
             return StoreFault.UNREACHABLE
 
     async def instances(self) -> tuple[ListedInstance, ...] | StoreFault:
-        """The platform's lagging list of instances."""
+        """Return the platform's list of instances, which may be out of date."""
         self.count('read')
         document = await self._json(
             f'http://{self.address}/instances', _TIMEOUT
--- a/worksrail/daemon/platform/_duties.py
+++ b/worksrail/daemon/platform/_sync.py
@@ -1,9 +1,9 @@
-"""What an instance reads from the platform, and how often.
+"""Reads of the platform by an instance, and their timing.
 
-One instance of each zone watches the store, chosen by rendezvous hashing;
-all others hear of changes from their peers.  Everybody reads the seat table
-and the list of instances at a slow pace, with jitter, so that the end of an
-outage brings no stampede.
+In each zone one instance, chosen by rendezvous hashing, watches the store; the
+others receive changes from their peers.  Every instance polls the seat table
+and the list of instances at a long interval, with jitter, so that there is no
+thundering herd at the end of an outage.
 """
 
 import asyncio
@@ -52,72 +52,72 @@
 
 _Record = TypeVar('_Record')
 _LOG: Final = Logger('worksrail.platform')
-# Seconds that a watch waits.  One that the store has forgotten, since it has
-# been silent, is given up two seconds later.  Each zone has one watch.
-_WATCH_SECONDS: Final = 2.0
-# Seconds that it waits while it is not known whether the store answers: what a
-# silent store is asked is never answered.
-_FIRST_WATCH_SECONDS: Final = 0.1
-# Seconds between watches that fail, doubled up to the last.
-_RETRY_FIRST: Final = 0.25
-_RETRY_LAST: Final = 1.0
-_QUICK_READ: Final = 0.4
-_DUTY_CHECK: Final = 0.5
-_PEERS_ASKED: Final = 3
-_SPREAD: Final = (0.5, 1.5)
+# Seconds for which a watch waits.  A watch that the store lost in an outage
+# times out two seconds later.  There is one watch per zone.
+_WATCH_TIMEOUT: Final = 2.0
+# Seconds for which a watch waits while it is unknown whether the store
+# responds: requests sent to an unresponsive store are never answered.
+_FIRST_WATCH_TIMEOUT: Final = 0.1
+# Exponential backoff between failed watches, in seconds.
+_MIN_RETRY_DELAY: Final = 0.25
+_MAX_RETRY_DELAY: Final = 1.0
+_POLL_INTERVAL: Final = 0.4
+_WATCHER_CHECK_INTERVAL: Final = 0.5
+_MAX_CHUNK_PEERS: Final = 3
+_JITTER_RANGE: Final = (0.5, 1.5)
 
 
 @dataclass(slots=True)
-class PlatformDuties:
-    """Keeps an instance informed, and writes for it."""
+class PlatformSync:
+    """Keeps an instance in sync with the platform, and writes to it."""
 
     engine: Engine
-    """Takes the events."""
+    """Receives the events."""
 
     store: StoreClient
-    """The platform's object API."""
+    """Client of the platform's object API."""
 
     peers: PeerClient
-    """Other instances."""
+    """Client for messages to other instances."""
 
     cache: ChunkCache
-    """Chunks of bundles."""
+    """Cache of bundle chunks."""
 
     seeds: tuple[str, ...] = ()
-    """Peer addresses to ask at start."""
+    """Peer addresses to contact at start."""
 
     rng: random.Random = field(default_factory=random.Random)
     """Source of jitter."""
 
     tasks: set[asyncio.Task[None]] = field(default_factory=set)
-    """Work under way."""
+    """Tasks in progress."""
 
     def start(self) -> None:
-        """Begin to read and to watch."""
-        self._run(self._watch())
-        self._run(self._read_slowly())
-        self._run(self._greet())
+        """Start watching, polling and contacting peers."""
+        self._start_task(self._watch())
+        self._start_task(self._poll())
+        self._start_task(self._contact_unknown_peers())
 
     def stop(self) -> None:
-        """End all work under way."""
+        """Cancel all tasks."""
         for task in self.tasks:
             task.cancel()
 
     # -- effects
 
     def fetch_bundle(self, effect: FetchBundle) -> None:
-        """Get a bundle from other instances, or from the store."""
-        self._run(self._fetch(effect))
+        """Fetch a bundle from other instances or from the store."""
+        self._start_task(self._fetch(effect))
 
     def write_seats(self, effect: WriteSeatTable) -> None:
         """Update the seat table conditionally."""
-        self._run(self._write_seats(effect))
+        self._start_task(self._write_seats(effect))
 
     # -- reading
 
     async def read_head(self) -> bool:
-        """Read the head and make an event of it; false if nothing answers."""
-        head = await self._record(HEAD_KEY, Head)
+        """Read the head and dispatch it; false if the store is unreachable."""
+        head = await self._read_record(HEAD_KEY, Head)
         if isinstance(head, Head):
             newest = head.newest
             self.engine.dispatch(
@@ -126,8 +126,8 @@
         return head is not StoreFault.UNREACHABLE
 
     async def read_drains(self) -> bool:
-        """Read the drain list and make an event of it."""
-        drains = await self._record(DRAINS_KEY, DrainList)
+        """Read the drain list and dispatch it; false if unreachable."""
+        drains = await self._read_record(DRAINS_KEY, DrainList)
         if isinstance(drains, DrainList):
             self.engine.dispatch(
                 DrainsSeen(self.engine.now(), drains.revision, drains.targets)
@@ -135,7 +135,7 @@
         return drains is not StoreFault.UNREACHABLE
 
     async def read_seats(self) -> bool:
-        """Read the region's seat table and make an event of it."""
+        """Read the region's seats and dispatch them; false if unreachable."""
         region = self.engine.instance.place.region
         stored = await self.store.read(seats_key(region))
         if stored is StoreFault.UNREACHABLE:
@@ -151,7 +151,7 @@
         return True
 
     async def read_instances(self) -> None:
-        """Read the platform's list and make an event of it."""
+        """Read the platform's list of instances and dispatch it."""
         listed = await self.store.instances()
         if not isinstance(listed, StoreFault):
             self.engine.dispatch(InstanceListRead(self.engine.now(), listed))
@@ -170,30 +170,33 @@
         )
         return rendezvous(f'watch/{zone}', names) == instance.who.name
 
-    # -- work under way
+    # -- tasks
 
     async def _watch(self) -> None:
         revision = 0
-        pause = _RETRY_FIRST
+        delay = _MIN_RETRY_DELAY
         answered = False
         await self._read_everything()
         while True:
             if not self.is_watcher():
                 revision, answered = 0, False
-                await asyncio.sleep(_DUTY_CHECK)
+                await asyncio.sleep(_WATCHER_CHECK_INTERVAL)
                 continue
-            seconds = _WATCH_SECONDS if answered else _FIRST_WATCH_SECONDS
+            seconds = _WATCH_TIMEOUT if answered else _FIRST_WATCH_TIMEOUT
             report = await self.store.watch(revision, seconds)
-            answered = await self._take(report)
+            answered = await self._read_reported(report)
             if isinstance(report, WatchReport) and answered:
-                pause = _RETRY_FIRST
+                delay = _MIN_RETRY_DELAY
                 revision = report.revision
                 continue
-            await asyncio.sleep(self._jittered(pause))
-            pause = min(_RETRY_LAST, 2 * pause)
+            await asyncio.sleep(self._jittered(delay))
+            delay = min(_MAX_RETRY_DELAY, 2 * delay)
 
-    async def _take(self, report: WatchReport | StoreFault) -> bool:
-        """Read what a watch told of; else it has to tell it once more."""
+    async def _read_reported(self, report: WatchReport | StoreFault) -> bool:
+        """Read the objects that a watch reported as changed.
+
+        False makes the caller repeat the watch from the same revision.
+        """
         if isinstance(report, StoreFault):
             return False
         return await self._read_changed(report.keys)
@@ -207,7 +210,7 @@
         )
 
     async def _read_changed(self, keys: tuple[str, ...]) -> bool:
-        """Read the objects that matter here; false if one could not be."""
+        """Read the changed objects used here; false if a read failed."""
         region = self.engine.instance.place.region
         readers: dict[str, Callable[[], Awaitable[bool]]] = {
             HEAD_KEY: self.read_head,
@@ -217,14 +220,14 @@
         wanted = [readers[key] for key in keys if key in readers]
         return all([await reader() for reader in wanted])
 
-    async def _read_slowly(self) -> None:
-        pace = self.engine.instance.settings.reclaim_after / 3
-        due = float(0)
+    async def _poll(self) -> None:
+        interval = self.engine.instance.settings.reclaim_after / 3
+        next_read = float(0)
         while True:
-            await asyncio.sleep(_QUICK_READ)
+            await asyncio.sleep(_POLL_INTERVAL)
             now = self.engine.now()
-            if now >= due:
-                due = now + self._jittered(pace)
+            if now >= next_read:
+                next_read = now + self._jittered(interval)
                 await self.read_instances()
                 await self.read_seats()
             elif self.engine.instance.seats.read_at is None:
@@ -232,7 +235,7 @@
             if self.engine.instance.configuration.topology is None:
                 await self.read_head()
 
-    async def _greet(self) -> None:
+    async def _contact_unknown_peers(self) -> None:
         interval = self.engine.instance.settings.heartbeat_interval
         while True:
             membership = self.engine.instance.membership
@@ -241,7 +244,7 @@
                 member.record.endpoints.peer
                 for member in membership.members.values()
             }
-            addresses = {one.peer for one in listed.values()}
+            addresses = {entry.peer for entry in listed.values()}
             addresses.update(self.seeds)
             own = self.engine.instance.endpoints.peer
             for address in addresses - known - {own}:
@@ -264,7 +267,7 @@
         members = self.engine.instance.membership.members
         addresses = [
             members[name].record.endpoints.peer
-            for name in effect.peers[:_PEERS_ASKED]
+            for name in effect.peers[:_MAX_CHUNK_PEERS]
             if name in members
         ]
         sources = [self._peer_source(address) for address in addresses]
@@ -293,7 +296,7 @@
             )
         )
 
-    async def _record(
+    async def _read_record(
         self,
         key: str,
         kind: type[_Record],
@@ -308,14 +311,14 @@
             return StoreFault.NOT_FOUND
 
     def _jittered(self, seconds: float) -> float:
-        return seconds * self.rng.uniform(*_SPREAD)
+        return seconds * self.rng.uniform(*_JITTER_RANGE)
 
-    def _run(self, work: Coroutine[Any, Any, None]) -> None:
+    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.ensure_future(work)
         self.tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._task_done)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _task_done(self, task: asyncio.Task[None]) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and task.exception():
-            _LOG.error('platform work failed: {!r}', task.exception())
+            _LOG.error('platform task failed: {!r}', task.exception())
