--- a/tests/test_certificates.py
+++ b/tests/test_certificates.py
@@ -1,4 +1,4 @@
-"""Certificates that are replaced while an entry runs."""
+"""Replacement of certificates while an entry runs."""
 
 import ssl
 from pathlib import Path
@@ -20,11 +20,11 @@
 
 
 @pytest.mark.parametrize('text', [None, '', '-----BEGIN CERTIFICATE-----\ncut'])
-def test_files_that_are_being_replaced_change_nothing(
+def test_reload_ignores_missing_or_invalid_files(
     text: str | None, tmp_path: Path
 ) -> None:
-    # A missing file ended the task that looks at them: later ones were never
-    # loaded, and nothing was written.
+    # An error for a missing file ended the task that reloads certificates:
+    # later files were never loaded, and nothing was logged.
     files = {
         name: str(tmp_path / name)
         for name in ('tls_ca', 'tls_certificate', 'tls_key')
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Logs are bounded and never block."""
+"""Log volume is bounded, and logging never blocks."""
 
 import os
 from typing import Any
@@ -13,7 +13,7 @@
 from worksrail.daemon.steered._metrics import SteeringMetrics
 
 
-def test_reader_that_never_reads_stops_nothing() -> None:
+def test_put_does_not_block_when_nothing_reads() -> None:
     reader, writer = os.pipe()
     os.set_blocking(writer, False)
     sink = LineSink(lambda payload: os.write(writer, payload))
@@ -29,23 +29,23 @@
     assert set(read.split(b'\n')[:-1]) == {b'x' * 99}
 
 
-def test_reader_that_went_away_stops_nothing() -> None:
-    def gone(payload: bytes) -> int:
+def test_put_does_not_raise_when_the_reader_is_gone() -> None:
+    def raise_broken_pipe(payload: bytes) -> int:
         raise BrokenPipeError
 
-    sink = LineSink(gone)
+    sink = LineSink(raise_broken_pipe)
     sink.put(b'line\n')
     assert (sink.dropped, sink.size) == (1, 0)
 
 
-def test_lines_are_json_with_their_fields() -> None:
+def test_records_are_written_as_json_with_extra_fields() -> None:
     lines: list[bytes] = []
 
-    def keep(payload: bytes) -> int:
+    def capture(payload: bytes) -> int:
         lines.append(payload)
         return len(payload)
 
-    with JsonLines('one', 'INFO', LineSink(keep)).applicationbound():
+    with JsonLines('one', 'INFO', LineSink(capture)).applicationbound():
         Logger('worksrail.x').info('sent', extra={'own': 0, 'subject': ''})
     line = msgspec.json.decode(lines[0])
     assert line['message'] == 'sent'
@@ -53,7 +53,7 @@
     assert 'subject' not in line
 
 
-def test_limit_holds_in_each_second_and_counts_the_rest() -> None:
+def test_limit_applies_per_second_and_counts_omitted_lines() -> None:
     limit = SecondLimit()
     allowed = [limit.allows('x', 3, now) for now in (1, 1.2, 1.4, 1.6, 2)]
     assert allowed == [True, True, True, False, True]
@@ -61,11 +61,11 @@
     assert limit.take_left_out() == {}
 
 
-class _Written:
-    """Decisions that reach the log."""
+class _LoggedDecisions:
+    """A decision log, and the names of the lines it writes."""
 
     def __init__(self) -> None:
-        """Begin with none."""
+        """Create a log without lines."""
         self.now = 10.0
         self.names: list[str] = []
         self.metrics = SteeringMetrics.create()
@@ -74,15 +74,15 @@
         )
 
     def put(self, kind: DecisionKind, request: int = 0, **inputs: Any) -> None:
-        """Write a decision."""
+        """Pass a decision to the log."""
         lines: list[bytes] = []
 
-        def keep(payload: bytes) -> int:
+        def capture(payload: bytes) -> int:
             lines.append(payload)
             return len(payload)
 
         decision = Decision(kind, 'x', request, tuple(inputs.items()))
-        with JsonLines('one', 'INFO', LineSink(keep)).applicationbound():
+        with JsonLines('one', 'INFO', LineSink(capture)).applicationbound():
             self.log.write(decision)
         for line in lines:
             decoded = msgspec.json.decode(line)
@@ -103,32 +103,32 @@
         ),
     ],
 )
-def test_whole_trail_of_a_bad_request_is_written(
+def test_all_decisions_of_a_failed_request_are_written(
     end: DecisionKind, inputs: dict[str, Any]
 ) -> None:
-    written = _Written()
-    written.put(DecisionKind.REQUEST_SENT, 7)
-    written.put(DecisionKind.REQUEST_SENT, 8)
-    written.put(DecisionKind.REQUEST_REPEATED, 7)
-    assert not written.names
-    written.put(end, 7, **inputs)
+    logged = _LoggedDecisions()
+    logged.put(DecisionKind.REQUEST_SENT, 7)
+    logged.put(DecisionKind.REQUEST_SENT, 8)
+    logged.put(DecisionKind.REQUEST_REPEATED, 7)
+    assert not logged.names
+    logged.put(end, 7, **inputs)
     last = end.name.lower().replace('_', '-')
-    assert written.names == [
+    assert logged.names == [
         'request-sent t7',
         'request-repeated t7',
         f'{last} t7',
     ]
-    assert set(written.log.trails) == {8}
+    assert set(logged.log.trails) == {8}
 
 
-def test_volume_is_bounded_and_everything_is_counted() -> None:
-    written = _Written()
+def test_log_volume_is_bounded_and_metrics_count_all() -> None:
+    logged = _LoggedDecisions()
     for number in range(1, 2000):
-        written.put(DecisionKind.REQUEST_SENT, number)
-        written.put(DecisionKind.REQUEST_REFUSED, number)
-    assert len(written.names) == 100
-    assert not written.log.trails
-    value = written.metrics.registry.get_sample_value(
+        logged.put(DecisionKind.REQUEST_SENT, number)
+        logged.put(DecisionKind.REQUEST_REFUSED, number)
+    assert len(logged.names) == 100
+    assert not logged.log.trails
+    value = logged.metrics.registry.get_sample_value(
         'worksrail_results_total', {'result': 'x'}
     )
     assert value == 1999
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -1,4 +1,4 @@
-"""Timers of a machine that was suspended."""
+"""Timers after a suspension of the machine."""
 
 import asyncio
 import time
@@ -31,7 +31,7 @@
 
 @dataclass
 class _Clock:
-    """A clock that counts the time of suspensions."""
+    """Monotonic clock that includes suspended time."""
 
     suspended: float = 0
 
@@ -44,11 +44,13 @@
         await asyncio.sleep(_TICK)
 
 
-@pytest.mark.parametrize(('seconds', 'ends'), [(_LONG + 1, True), (1, False)])
-def test_deadline_that_passed_in_a_suspension_ends_at_once(
+@pytest.mark.parametrize(
+    ('seconds', 'expires'), [(_LONG + 1, True), (1, False)]
+)
+def test_deadline_passed_during_suspension_expires_at_once(
     seconds: float,
     *,
-    ends: bool,
+    expires: bool,
 ) -> None:
     clock = _Clock()
 
@@ -57,31 +59,31 @@
         await _tick()
         clock.suspended = seconds
         await _tick()
-        ended = deadline.done()
+        expired = deadline.done()
         deadline.cancel()
-        return ended
+        return expired
 
     with asyncio.Runner(loop_factory=lambda: ServingLoop(clock)) as runner:
-        assert runner.run(wait()) is ends
+        assert runner.run(wait()) is expires
 
 
 @pytest.mark.parametrize('program', ['worksraild', 'entry'])
-def test_programs_run_on_the_loop_that_counts_suspensions(
+def test_programs_run_on_a_loop_that_includes_suspended_time(
     program: str,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     loops: list[type] = []
 
-    async def note(*_: Any) -> None:
+    async def record_loop(*_: Any) -> None:
         loops.append(type(asyncio.get_running_loop()))
 
     if program == 'entry':
         adapter: Any = SimpleNamespace(read_settings=settings)
-        monkeypatch.setattr(_daemon, '_serve', note)
+        monkeypatch.setattr(_daemon, '_serve', record_loop)
         monkeypatch.setattr(_daemon, 'install_logs', lambda *_: None)
         _daemon.serve(adapter)
     else:
-        monkeypatch.setattr(main, '_serve', note)
+        monkeypatch.setattr(main, '_serve', record_loop)
         monkeypatch.setattr(main, 'install_logs', lambda *_: None)
         main.serve(**_FLAGS)
     assert loops == [ServingLoop]
--- a/tests/test_service_unit.py
+++ b/tests/test_service_unit.py
@@ -1,4 +1,4 @@
-"""The unit for service managers keeps the starter's part of a reload."""
+"""Settings of the systemd unit that reloads and restarts depend on."""
 
 from configparser import ConfigParser
 from pathlib import Path
@@ -18,7 +18,7 @@
         ('Unit', 'StartLimitIntervalSec', '0'),
     ],
 )
-def test_unit_reloads_what_is_ready_and_starts_again_what_ended(
+def test_unit_notifies_readiness_reloads_and_restarts(
     section: str, key: str, expected: str
 ) -> None:
     unit = ConfigParser(interpolation=None)
--- a/worksrail/client/__init__.py
+++ b/worksrail/client/__init__.py
@@ -1,4 +1,4 @@
-"""A small library for callers: look up, cache, tickets, safe retries."""
+"""Client library for callers: cached look-ups, tickets and safe retries."""
 
 from worksrail.client._client import (
     Answer,
--- a/worksrail/client/_client.py
+++ b/worksrail/client/_client.py
@@ -1,4 +1,4 @@
-"""The caller's side: which entry to use, and what may be sent again."""
+"""Client for callers: choice of the entry, and retries."""
 
 import asyncio
 import json
@@ -23,16 +23,16 @@
 from worksrail.daemon.http._collected import CollectedAnswer
 from worksrail.daemon.http._connections import ConnectionPool
 
-_HTTP: Final = 'HTTP/1.1'
+_HTTP_VERSION: Final = 'HTTP/1.1'
 _OK: Final = 200
-_SERVER_ERROR: Final = 500
-_SAFE: Final = frozenset(('GET', 'HEAD', 'OPTIONS'))
-_LOOK_UP_TIME: Final = 2.0
+_MIN_SERVER_ERROR: Final = 500
+_SAFE_METHODS: Final = frozenset(('GET', 'HEAD', 'OPTIONS'))
+_LOOK_UP_TIMEOUT: Final = 2.0
 
 
 @unique
 class NoAnswer(Enum):
-    """Sentinel: why there is no answer, and what is known of the request."""
+    """Sentinel: why there is no answer, and whether the request was run."""
 
     NOT_SENT = 'no entry could be reached; the request was not run'
     NOT_RUN = 'refused; the request was not run'
@@ -41,24 +41,24 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerSettings:
-    """Settings of a caller."""
+    """Settings of a client."""
 
     entries: tuple[str, ...]
-    """Entries to ask for a look-up."""
+    """Addresses of entries that are asked for look-ups."""
 
     client: str = ''
-    """IP address to look up for; empty for the own one."""
+    """IP address to look up for; empty for that of the connection."""
 
     attempts: int = 3
-    """Most times a request is sent."""
+    """Maximum number of attempts per request."""
 
     deadline: float = 5.0
-    """Seconds for a request with all its attempts."""
+    """Timeout in seconds of a request with all its attempts."""
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """An answer, or the word that there is none."""
+    """An answer, or the reason why there is none."""
 
     status: int
     """HTTP status; zero without an answer."""
@@ -67,20 +67,20 @@
     """Headers of the answer."""
 
     body: bytes
-    """The whole body."""
+    """Complete body."""
 
     code: ResultCode | NoAnswer
-    """``OK``, another result, or why there is none."""
+    """``OK``, another result code, or why there is no answer."""
 
     trace: str
-    """Identifier of the request."""
+    """Trace identifier of the request."""
 
     attempts: int = 1
-    """How often it was sent."""
+    """Number of attempts made."""
 
     @property
     def is_ok(self) -> bool:
-        """Whether it is a whole answer of the service."""
+        """Whether it is a complete answer of the service."""
         return self.code is ResultCode.OK
 
 
@@ -93,30 +93,30 @@
 
 @dataclass(slots=True)
 class CallerClient:
-    """Sends requests through worksrail as a careful caller does.
+    """Sends requests through worksrail, with look-ups and safe retries.
 
-    Look-up answers are cached for their age.  A request that was not run
-    goes to the next entry, after the time the refusal named; one whose
-    outcome is unknown is not sent again unless it is idempotent.
+    Look-up answers are cached until they expire.  A request that was not run
+    is retried after the delay given in the refusal; one whose outcome is
+    unknown is retried only if its method is safe.
     """
 
     settings: CallerSettings
-    """What to ask for and how long."""
+    """Entries, timeout and number of attempts."""
 
     clock: Callable[[], float] = time.monotonic
     """Monotonic time in seconds."""
 
     rng: random.Random = field(default_factory=random.Random)
-    """Spreads callers over entries."""
+    """Shuffles the entries for look-ups, to spread the load."""
 
     pool: ConnectionPool = field(init=False)
-    """Kept-alive connections to entries."""
+    """Keep-alive connections to entries."""
 
     cache: dict[str, _Cached] = field(default_factory=dict)
     """Look-up answers by service."""
 
     def __post_init__(self) -> None:
-        """Make the connection pool."""
+        """Create the connection pool."""
         self.pool = ConnectionPool(self.clock)
 
     async def send(
@@ -128,31 +128,31 @@
         *,
         key: str = '',
     ) -> Answer:
-        """Send a request; a key makes a repetition by the caller safe."""
+        """Send a request; with an idempotency key the caller may repeat it."""
         deadline = self.clock() + self.settings.deadline
         trace = uuid.uuid4().hex
-        safe = method in _SAFE
-        chosen = '' if safe else key or trace
-        answer = _nothing(trace, NoAnswer.NOT_SENT, 0)
+        safe = method in _SAFE_METHODS
+        idempotency_key = '' if safe else key or trace
+        answer = _no_answer(trace, NoAnswer.NOT_SENT, 0)
         for attempt in range(1, self.settings.attempts + 1):
             cached = await self._look_up(service)
             if cached is None:
                 return answer
-            headers = _headers(service, trace, cached, chosen)
+            headers = _headers(service, trace, cached, idempotency_key)
             headers['Worksrail-Deadline'] = f'{deadline - self.clock():.3f}'
-            entry = self._entry(cached, attempt, safe=safe)
+            entry = self._choose_entry(cached, attempt, safe=safe)
             answer = await self._send_once(
                 entry,
-                RequestStartLine(method, path, _HTTP),
+                RequestStartLine(method, path, _HTTP_VERSION),
                 headers,
                 body,
                 deadline,
                 attempt,
             )
-            if not _may_repeat(answer, safe=safe):
+            if not _may_retry(answer, safe=safe):
                 return answer
             self.cache.pop(service, None)
-            if not await self._paused(answer, deadline):
+            if not await self._wait_before_retry(answer, deadline):
                 return answer
         return answer
 
@@ -169,7 +169,7 @@
         deadline = self.clock() + self.settings.deadline
         return await self._send_once(
             address,
-            RequestStartLine(method, path, _HTTP),
+            RequestStartLine(method, path, _HTTP_VERSION),
             HTTPHeaders({'Host': host, 'Worksrail-Trace': trace}),
             body,
             deadline,
@@ -195,12 +195,12 @@
         ).run()
         trace = headers['Worksrail-Trace']
         if report.end is not AttemptEnd.WHOLE:
-            return _nothing(trace, _why(report), attempt)
+            return _no_answer(trace, _failure_reason(report), attempt)
         return Answer(
             collector.status,
             collector.headers,
             collector.body,
-            _result(collector.headers),
+            _result_code(collector.headers),
             trace,
             attempt,
         )
@@ -212,10 +212,10 @@
         entries = list(self.settings.entries)
         self.rng.shuffle(entries)
         for entry in entries:
-            document = await self._ask(entry, service)
+            document = await self._fetch_look_up(entry, service)
             if document:
                 fresh = _Cached(
-                    tuple(one['address'] for one in document['entries']),
+                    tuple(ranked['address'] for ranked in document['entries']),
                     document['ticket'],
                     self.clock() + document['max_age'],
                 )
@@ -223,19 +223,19 @@
                 return fresh
         return None
 
-    async def _ask(self, entry: str, service: str) -> Any:
+    async def _fetch_look_up(self, entry: str, service: str) -> Any:
         path = f'/.worksrail/look-up?service={service}'
         if self.settings.client:
             path = f'{path}&client={self.settings.client}'
         stream = BodyStream.from_bytes(b'')
         collector = CollectedAnswer()
-        limit = self.clock() + _LOOK_UP_TIME
+        look_up_deadline = self.clock() + _LOOK_UP_TIMEOUT
         outgoing = Outgoing(
             entry,
-            RequestStartLine('GET', path, _HTTP),
+            RequestStartLine('GET', path, _HTTP_VERSION),
             HTTPHeaders({'Host': service}),
-            limit,
-            limit,
+            look_up_deadline,
+            look_up_deadline,
         )
         report = await HttpAttempt(
             self.pool, self.clock, outgoing, stream, collector
@@ -244,12 +244,14 @@
             return None
         return json.loads(collector.body)
 
-    def _entry(self, cached: _Cached, attempt: int, *, safe: bool) -> str:
+    def _choose_entry(
+        self, cached: _Cached, attempt: int, *, safe: bool
+    ) -> str:
         if not safe:
             return cached.entries[0]
         return cached.entries[(attempt - 1) % len(cached.entries)]
 
-    async def _paused(self, answer: Answer, deadline: float) -> bool:
+    async def _wait_before_retry(self, answer: Answer, deadline: float) -> bool:
         wait = float(answer.headers.get('Worksrail-Retry-After', '0'))
         if self.clock() + wait >= deadline:
             return False
@@ -271,27 +273,29 @@
     return headers
 
 
-def _result(headers: HTTPHeaders) -> ResultCode | NoAnswer:
+def _result_code(headers: HTTPHeaders) -> ResultCode | NoAnswer:
     try:
         return code_by_number(int(headers.get('Worksrail-Result', '')))
     except ValueError:
         return NoAnswer.UNKNOWN
 
 
-def _why(report: AttemptReport) -> NoAnswer:
+def _failure_reason(report: AttemptReport) -> NoAnswer:
     if report.end is AttemptEnd.NOT_SENT:
         return NoAnswer.NOT_SENT
     return NoAnswer.UNKNOWN
 
 
-def _may_repeat(answer: Answer, *, safe: bool) -> bool:
+def _may_retry(answer: Answer, *, safe: bool) -> bool:
     if answer.is_ok:
         return False
     if isinstance(answer.code, ResultCode):
         certain = answer.code.certainty is Certainty.NOT_RUN
-        return (certain or safe) and answer.code.http_status >= _SERVER_ERROR
+        return (
+            certain or safe
+        ) and answer.code.http_status >= _MIN_SERVER_ERROR
     return safe or answer.code is NoAnswer.NOT_SENT
 
 
-def _nothing(trace: str, why: NoAnswer, attempt: int) -> Answer:
+def _no_answer(trace: str, why: NoAnswer, attempt: int) -> Answer:
     return Answer(0, HTTPHeaders(), b'', why, trace, attempt)
--- a/worksrail/daemon/__init__.py
+++ b/worksrail/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon: runs effects and makes events."""
+"""Daemon: creates events from I/O and runs the effects of the reducer."""
--- a/worksrail/daemon/__main__.py
+++ b/worksrail/daemon/__main__.py
@@ -6,7 +6,7 @@
 
 
 def main() -> None:
-    """Hold signals first, then load the daemon and run it."""
+    """Block signals first, then import the daemon and run it."""
     hold_first_signals()
     import_module('worksrail.daemon.main').main()
 
--- a/worksrail/daemon/_clock.py
+++ b/worksrail/daemon/_clock.py
@@ -4,10 +4,10 @@
 
 
 def monotonic() -> float:
-    """Seconds on a clock that goes on while the machine is suspended."""
+    """Return seconds on a monotonic clock that includes suspended time."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def wall() -> float:
-    """Seconds since the epoch, for expiry of tickets and for logs."""
+    """Return seconds since the epoch, for ticket expiry and for logs."""
     return time.time()
--- a/worksrail/daemon/_engine.py
+++ b/worksrail/daemon/_engine.py
@@ -1,4 +1,4 @@
-"""The engine of a process: feeds events to the reducer, runs the effects."""
+"""Engine of a process: passes events to the reducer and runs its effects."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -27,7 +27,7 @@
 from worksrail.daemon._timeline import Timeline
 
 _LOG: Final = Logger('worksrail.engine')
-_QUIET_KINDS: Final = frozenset(
+_DEBUG_KINDS: Final = frozenset(
     (
         'request-sent',
         'request-ended',
@@ -50,10 +50,10 @@
         """Answer a request with a result code."""
 
     def cancel(self, effect: CancelRequest) -> None:
-        """Cut off what was sent for a request."""
+        """Cancel the attempt in progress for a request."""
 
     def trace_of(self, number: int) -> str:
-        """Identifier of a request."""
+        """Return the trace identifier of a request."""
 
 
 class MessageRunner(Protocol):
@@ -67,7 +67,7 @@
     """Runs the effects that concern the platform."""
 
     def fetch_bundle(self, effect: FetchBundle) -> None:
-        """Get a bundle from the store or from other instances."""
+        """Fetch a bundle from other instances or from the store."""
 
     def write_seats(self, effect: WriteSeatTable) -> None:
         """Update the seat table conditionally."""
@@ -75,22 +75,22 @@
 
 @dataclass(slots=True)
 class Engine:
-    """The one place where events meet the state.
+    """Applies events to the state; the only place where it changes.
 
-    Effects are started before :meth:`dispatch` returns and report back by
-    events of their own; so no event is ever handled within another one.
+    Effects are started before :meth:`dispatch` returns and report their results
+    as later events, so that no event is handled within another one.
     """
 
     instance: Instance
-    """The state."""
+    """State of the instance."""
 
     timeline: Timeline
-    """Where notes go."""
+    """Time line that records notes."""
 
     metrics: Metrics
     """Counters and gauges."""
 
-    exited: Callable[[], None]
+    on_exit: Callable[[], None]
     """Called when a graceful stop is complete."""
 
     requests: RequestRunner | None = None
@@ -103,7 +103,7 @@
     """Runs the effects that concern the platform."""
 
     runners: dict[type, Callable[[Any], None]] = field(default_factory=dict)
-    """Who runs which effect."""
+    """Function that runs each type of effect."""
 
     def connect(
         self,
@@ -111,7 +111,7 @@
         messages: MessageRunner,
         platform: PlatformRunner,
     ) -> None:
-        """Say who runs the effects."""
+        """Set the objects that run the effects."""
         self.requests = requests
         self.messages = messages
         self.platform = platform
@@ -123,33 +123,33 @@
             SendMessage: messages.send,
             FetchBundle: platform.fetch_bundle,
             WriteSeatTable: platform.write_seats,
-            BecomeIncarnation: self._become,
+            BecomeIncarnation: self._change_incarnation,
             ExitProcess: self._exit,
             Note: self._note,
         }
 
     def now(self) -> float:
-        """Monotonic time in seconds."""
+        """Return monotonic time in seconds."""
         return _clock.monotonic()
 
     def dispatch(self, event: Event) -> None:
-        """Change the state by an event and run the effects."""
+        """Apply an event to the state and run the resulting effects."""
         self.metrics.events.labels(type(event).__name__).inc()
         for effect in reduce(self.instance, event):
             self._run(effect)
 
     def tick(self) -> None:
-        """Let time pass."""
+        """Dispatch the passage of time."""
         self.dispatch(Ticked(self.now(), _clock.wall()))
 
     def _run(self, effect: Effect) -> None:
         self.runners[type(effect)](effect)
 
-    def _become(self, effect: BecomeIncarnation) -> None:
+    def _change_incarnation(self, effect: BecomeIncarnation) -> None:
         self.timeline.instance = effect.who.label
 
     def _exit(self, effect: ExitProcess) -> None:
-        self.exited()
+        self.on_exit()
 
     def _note(self, note: Note) -> None:
         trace = ''
@@ -157,7 +157,7 @@
             trace = self.requests.trace_of(note.request)
         event = self.timeline.add(note, trace)
         self.metrics.count_note(note)
-        log = _LOG.debug if event.kind in _QUIET_KINDS else _LOG.info
+        log = _LOG.debug if event.kind in _DEBUG_KINDS else _LOG.info
         log(
             event.kind,
             extra={
--- a/worksrail/daemon/_logs.py
+++ b/worksrail/daemon/_logs.py
@@ -1,7 +1,7 @@
-"""Structured logs: one JSON object a line on standard output.
+"""Structured logs: one JSON object per line on standard output.
 
-Logging never blocks and its volume is bounded: what a reader does not take
-is dropped and counted.
+Logging never blocks and its buffer is bounded: lines that exceed it because
+the reader is too slow are dropped and counted.
 """
 
 import contextlib
@@ -16,8 +16,8 @@
 import msgspec
 from logbook import Handler, LogRecord, lookup_level
 
-# Bytes that wait for a slow reader before lines are dropped.
-_BUFFER_BYTES: Final = 262_144
+# Maximum number of bytes buffered for a slow reader.
+_MAX_BUFFER_BYTES: Final = 262_144
 
 
 def _write_to_standard_output(payload: bytes) -> int:
@@ -26,53 +26,53 @@
 
 @dataclass(slots=True)
 class LineSink:
-    """Writes lines without ever waiting for their reader."""
+    """Writes lines without blocking."""
 
     write_some: Callable[[bytes], int] = _write_to_standard_output
-    """Writes a part and gives its size, or raises ``BlockingIOError``."""
+    """Writes bytes; returns how many, or raises ``BlockingIOError``."""
 
-    waiting: deque[bytes] = field(default_factory=deque)
-    """Lines, and the rest of a line, that the reader has not taken."""
+    pending: deque[bytes] = field(default_factory=deque)
+    """Buffered lines; the first may be the rest of a partly written one."""
 
     size: int = 0
-    """Bytes that wait."""
+    """Buffered bytes."""
 
     dropped: int = 0
-    """Lines that were dropped so far."""
+    """Number of lines dropped so far."""
 
     def put(self, line: bytes) -> None:
-        """Write a line, or keep it while the reader is slow."""
-        if self.size + len(line) > _BUFFER_BYTES:
+        """Write a line, buffer it, or drop it if the buffer is full."""
+        if self.size + len(line) > _MAX_BUFFER_BYTES:
             self.dropped += 1
             self.flush()
             return
-        self.waiting.append(line)
+        self.pending.append(line)
         self.size += len(line)
         self.flush()
 
     def flush(self) -> None:
-        """Write what waits, as far as the reader takes it."""
-        while self.waiting:
-            line = self.waiting.popleft()
+        """Write as much of the buffer as possible without blocking."""
+        while self.pending:
+            line = self.pending.popleft()
             try:
-                taken = self.write_some(line)
+                written = self.write_some(line)
             except BlockingIOError:
-                self.waiting.appendleft(line)
+                self.pending.appendleft(line)
                 return
             except OSError:
-                # Nobody reads any more; requests are served all the same.
+                # The reader is gone; requests are served without logs.
                 self.dropped += 1
-                taken = len(line)
-            self.size -= taken
-            if taken < len(line):
-                self.waiting.appendleft(line[taken:])
+                written = len(line)
+            self.size -= written
+            if written < len(line):
+                self.pending.appendleft(line[written:])
 
 
 class JsonLines(Handler):
     """Writes each record as one line of JSON."""
 
     def __init__(self, instance: str, level: str, sink: LineSink) -> None:
-        """Prepare a handler for one instance."""
+        """Create a handler for one instance."""
         super().__init__(lookup_level(level.upper()))
         self.instance = instance
         self.sink = sink
--- a/worksrail/daemon/_loop.py
+++ b/worksrail/daemon/_loop.py
@@ -1,4 +1,4 @@
-"""The event loop of programs that serve."""
+"""Event loop of the daemons."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -8,23 +8,23 @@
 
 
 class ServingLoop(asyncio.SelectorEventLoop):
-    """Runs timers by the clock of the decisions.
+    """Event loop whose timers use the same clock as the core.
 
-    The usual loop's clock stands still while the machine is suspended, so that
-    each deadline and pause would end late by that time.
+    The clock of asyncio's default loop does not advance while the machine is
+    suspended, so deadlines and delays would end late by that time.
     """
 
     def __init__(self, clock: Callable[[], float] = _clock.monotonic) -> None:
-        """Take a clock in seconds that never goes back."""
+        """Create a loop with a monotonic clock in seconds."""
         self.clock = clock
         super().__init__()
 
     def time(self) -> float:
-        """Seconds on the clock."""
+        """Return seconds on the clock."""
         return self.clock()
 
 
 def run_serving(work: Coroutine[Any, Any, None]) -> None:
-    """Run a program's main coroutine to its end."""
+    """Run a program's main coroutine on a :class:`ServingLoop`."""
     with asyncio.Runner(loop_factory=ServingLoop) as runner:
         runner.run(work)
--- a/worksrail/daemon/_metrics.py
+++ b/worksrail/daemon/_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a process, in the format of Prometheus."""
+"""Prometheus metrics of a process."""
 
 from dataclasses import dataclass
 
@@ -20,7 +20,7 @@
     """All counters and gauges of one process."""
 
     registry: CollectorRegistry
-    """Where they are registered."""
+    """Registry of the metrics."""
 
     events: Counter
     """Reducer events by type."""
@@ -41,7 +41,7 @@
     """Generation in force."""
 
     members: Gauge
-    """Instances known."""
+    """Number of known instances."""
 
     peer_bytes: Counter
     """Bytes of messages sent to other instances."""
@@ -120,7 +120,7 @@
             self.results.labels('OK').inc()
 
     def render(self, instance: Instance) -> bytes:
-        """Bring the gauges up to date and give the text."""
+        """Update the gauges and return all metrics in Prometheus's format."""
         self.generation.set(instance.configuration.generation)
         self.members.set(len(instance.membership.members))
         topology = instance.configuration.topology
--- a/worksrail/daemon/_peers.py
+++ b/worksrail/daemon/_peers.py
@@ -1,4 +1,4 @@
-"""Messages between instances, over gRPC."""
+"""Messages between instances over gRPC."""
 
 import asyncio
 import contextlib
@@ -29,8 +29,8 @@
 
 _LOG: Final = Logger('worksrail.peers')
 _DELIVERY_TIMEOUT: Final = 1.0
-_PENDING_LIMIT: Final = 512
-_FAILURES: Final = (
+_MAX_PENDING: Final = 512
+_TRANSPORT_ERRORS: Final = (
     GRPCError,
     StreamTerminatedError,
     OSError,
@@ -42,10 +42,10 @@
 
 
 class PeerService(PeerBase):
-    """Takes messages and hands out chunks of bundles."""
+    """gRPC service that receives messages and serves bundle chunks."""
 
     def __init__(self, engine: Engine, chunks: ChunkReader) -> None:
-        """Serve for an engine, with its chunks."""
+        """Create a service for an engine and a source of chunks."""
         self.engine = engine
         self.chunks = chunks
 
@@ -53,13 +53,13 @@
         self,
         stream: Stream[Envelope, Receipt],
     ) -> None:
-        """Take messages; malformed ones are dropped and logged."""
+        """Receive messages; malformed ones are logged and dropped."""
         envelope = await stream.recv_message()
         if envelope is None:
             return
         await stream.send_message(Receipt())
         sender = Incarnation(envelope.sender, envelope.incarnation)
-        self.engine.timeline.witness(
+        self.engine.timeline.observe(
             Stamp(envelope.stamp_wall, envelope.stamp_count)
         )
         try:
@@ -76,7 +76,7 @@
         self,
         stream: Stream[ChunkRequest, Chunk],
     ) -> None:
-        """Hand out a chunk."""
+        """Return a chunk."""
         request = await stream.recv_message()
         payload = self.chunks(request.digest) if request else None
         await stream.send_message(
@@ -86,20 +86,20 @@
 
 @dataclass(slots=True)
 class PeerClient:
-    """Sends messages; those to one receiver are sent together, in order.
+    """Sends messages; those to one receiver are batched and sent in order.
 
-    Nothing is kept for a receiver that cannot be reached: all protocols
-    between instances work with lost messages.
+    Messages to an unreachable receiver are dropped: all protocols between
+    instances tolerate lost messages.
     """
 
     engine: Engine
-    """Gives the identity and the time stamps."""
+    """Provides the instance's identity and time stamps."""
 
     context: ssl.SSLContext | None = None
-    """TLS towards other instances."""
+    """TLS context for connections to other instances."""
 
     delays: dict[str, float] = field(default_factory=dict)
-    """Bench only: delay by region of the receiver, in seconds."""
+    """For benchmarks only: delay in seconds by the receiver's region."""
 
     channels: dict[str, Channel] = field(default_factory=dict)
     """Open channels by address."""
@@ -107,13 +107,13 @@
     pending: dict[str, list[AnyMessage]] = field(
         default_factory=lambda: defaultdict(list)
     )
-    """Messages that wait to be sent, by address."""
+    """Queued messages by address."""
 
     tasks: dict[str, asyncio.Task[None]] = field(default_factory=dict)
-    """Deliveries under way, by address."""
+    """Deliveries in progress, by address."""
 
     def send(self, effect: SendMessage) -> None:
-        """Send a message to a known instance."""
+        """Send a message to a known instance; others are ignored."""
         membership = self.engine.instance.membership
         member = membership.members.get(effect.receiver)
         listed = (membership.listed or {}).get(effect.receiver)
@@ -124,10 +124,10 @@
 
     def send_to(self, address: str, message: AnyMessage) -> None:
         """Send a message to an address."""
-        waiting = self.pending[address]
-        if len(waiting) >= _PENDING_LIMIT:
-            waiting.pop(0)
-        waiting.append(message)
+        queue = self.pending[address]
+        if len(queue) >= _MAX_PENDING:
+            queue.pop(0)
+        queue.append(message)
         if address not in self.tasks:
             delivery = asyncio.ensure_future(self._deliver(address))
             self.tasks[address] = delivery
@@ -139,7 +139,7 @@
             chunk = await stub.ReadChunk(
                 ChunkRequest(digest=digest), timeout=_DELIVERY_TIMEOUT
             )
-        except _FAILURES:
+        except _TRANSPORT_ERRORS:
             return None
         return chunk.payload if chunk.found else None
 
@@ -149,7 +149,7 @@
             channel.close()
 
     async def flush(self, timeout: float) -> None:
-        """Wait until pending messages are delivered, but not for long."""
+        """Wait until queued messages are delivered, or for a timeout."""
         if self.tasks:
             await asyncio.wait(self.tasks.values(), timeout=timeout)
 
@@ -183,8 +183,8 @@
         try:
             stub = PeerStub(self._channel(address))
             await stub.Deliver(envelope, timeout=_DELIVERY_TIMEOUT)
-        except _FAILURES as error:
-            _LOG.debug('no delivery to {}: {!r}', address, error)
+        except _TRANSPORT_ERRORS as error:
+            _LOG.debug('delivery to {} failed: {!r}', address, error)
 
     def _channel(self, address: str) -> Channel:
         channel = self.channels.get(address)
--- a/worksrail/daemon/_service_manager.py
+++ b/worksrail/daemon/_service_manager.py
@@ -1,7 +1,7 @@
-"""Notifies the service manager that this process takes signals.
+"""Notifies the service manager that this process handles signals.
 
-The service manager names a datagram socket in the environment, as systemd does
-for units of ``Type=notify``, and gets ``READY=1`` there.
+The service manager passes the address of a datagram socket in the environment,
+as systemd does for units of ``Type=notify``, and receives ``READY=1`` there.
 """
 
 import asyncio
@@ -13,27 +13,29 @@
 from logbook import Logger
 
 _LOG: Final = Logger('worksrail.daemon')
-_SOCKET_NAME: Final = 'NOTIFY_SOCKET'
-# Seconds between two attempts while the queue of the socket is full.
-_RETRY_PAUSE: Final = 0.1
+_SOCKET_VARIABLE: Final = 'NOTIFY_SOCKET'
+# Seconds between attempts while the queue of the socket is full.
+_RETRY_DELAY: Final = 0.1
 
 
 async def notify_ready() -> None:
-    """Notify the service manager, if it asked, that signals are taken now.
+    """Notify the service manager, if there is one, that signals are handled.
 
-    To be started after the loop took the signals.  Callers are served
-    meanwhile, and also if the service manager cannot be reached.
-    Source: sd_notify(3).
+    To be started after the loop installed its signal handlers.  Callers are
+    served meanwhile, and also if the service manager cannot be reached.
+    See sd_notify(3).
     """
-    address = os.environ.get(_SOCKET_NAME)
+    address = os.environ.get(_SOCKET_VARIABLE)
     if not address:
         return
-    # Loaded only where it is used, which is rare.
-    notifier = import_module('sd_notify').Notifier(addr=_as_bound(address))
+    # Imported only when needed, which is rare.
+    notifier = import_module('sd_notify').Notifier(
+        addr=_kernel_address(address)
+    )
     notifier.socket.setblocking(False)
     try:
-        while not _is_sent(notifier.ready):
-            await asyncio.sleep(_RETRY_PAUSE)
+        while not _try_send(notifier.ready):
+            await asyncio.sleep(_RETRY_DELAY)
     except OSError as error:
         _LOG.warning(
             'service manager not notified', extra={'problem': str(error)}
@@ -42,8 +44,8 @@
         notifier.socket.close()
 
 
-def _is_sent(send: Callable[[], None]) -> bool:
-    """Whether a message was sent; false while the socket's queue is full."""
+def _try_send(send: Callable[[], None]) -> bool:
+    """Send a message; false if the queue of the socket is full."""
     try:
         send()
     except BlockingIOError:
@@ -51,6 +53,6 @@
     return True
 
 
-def _as_bound(address: str) -> str:
-    """Address as the kernel knows it: abstract ones begin with a zero byte."""
+def _kernel_address(address: str) -> str:
+    """Return the socket address; abstract ones begin with a null byte."""
     return f'\0{address[1:]}' if address.startswith('@') else address
--- a/worksrail/daemon/_settings.py
+++ b/worksrail/daemon/_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the daemon: flags and environment variables, checked at start."""
+"""Settings of the daemon: flags and environment variables."""
 
 import ipaddress
 import os
@@ -17,7 +17,7 @@
 
 PREFIX: Final = 'WORKSRAIL_'
 _NAME: Final = r'^[a-z0-9][a-z0-9.-]{0,62}$'
-_SHORTEST_SECRET: Final = 16
+_MIN_SECRET_LENGTH: Final = 16
 
 
 def _check_endpoint(text: str) -> str:
@@ -45,9 +45,9 @@
 
 def _check_secrets(text: str) -> str:
     secrets = [part for part in text.split(',') if part]
-    if not secrets or any(len(part) < _SHORTEST_SECRET for part in secrets):
+    if not secrets or any(len(part) < _MIN_SECRET_LENGTH for part in secrets):
         raise ValueError(
-            f'expected secrets of {_SHORTEST_SECRET} characters or more'
+            f'expected secrets of {_MIN_SECRET_LENGTH} characters or more'
         )
     return text
 
@@ -70,7 +70,7 @@
     """All settings of ``worksraild``.
 
     Each field is a flag (``--zone``) and an environment variable
-    (``WORKSRAIL_ZONE``); the flag wins.
+    (``WORKSRAIL_ZONE``); the flag takes precedence.
     """
 
     __pydantic_config__ = ConfigDict(extra='forbid')
@@ -118,29 +118,29 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingFault:
-    """One fault of the settings."""
+    """An invalid or missing setting."""
 
     setting: str
-    """Flag that is at fault."""
+    """Name of the flag."""
 
     problem: str
-    """What was expected."""
+    """Description of the problem."""
 
 
 def load_settings(
     flags: Mapping[str, Any],
     environment: Mapping[str, str] = os.environ,
 ) -> DaemonSettings | list[SettingFault]:
-    """Read and check all settings; names every fault at once.
+    """Read and validate all settings; returns all faults if there are any.
 
     >>> load_settings({}, {})[0]
     SettingFault(setting='--name', problem='missing; Name of this ...')
     """
     texts: dict[str, Any] = {}
-    for known in fields(DaemonSettings):
-        variable = environment.get(PREFIX + known.name.upper())
+    for setting_field in fields(DaemonSettings):
+        variable = environment.get(PREFIX + setting_field.name.upper())
         if variable is not None:
-            texts[known.name] = variable
+            texts[setting_field.name] = variable
     texts.update({name: str(text) for name, text in flags.items()})
     try:
         settings = _ADAPTER.validate_python(texts)
@@ -153,27 +153,34 @@
 
 
 def setting_table() -> list[tuple[str, str, str, str]]:
-    """Flag, variable, default and text of each setting, for the docs."""
+    """Return flag, variable, default and text of each setting, for the docs."""
     return [
         (
-            _flag(known.name),
-            PREFIX + known.name.upper(),
-            _default(known),
-            known.metadata['text'],
+            _flag(setting_field.name),
+            PREFIX + setting_field.name.upper(),
+            _default(setting_field),
+            setting_field.metadata['text'],
         )
-        for known in fields(DaemonSettings)
+        for setting_field in fields(DaemonSettings)
     ]
 
 
-def _default(known: DataclassField[Any]) -> str:
-    return 'required' if known.default is MISSING else str(known.default)
+def _default(setting_field: DataclassField[Any]) -> str:
+    return (
+        'required'
+        if setting_field.default is MISSING
+        else str(setting_field.default)
+    )
 
 
 def _fault(name: str, kind: str, message: str) -> SettingFault:
-    known = {known.name: known for known in fields(DaemonSettings)}
+    by_name = {
+        setting_field.name: setting_field
+        for setting_field in fields(DaemonSettings)
+    }
     if kind in {'missing', 'missing_argument'}:
         return SettingFault(
-            _flag(name), f'missing; {known[name].metadata["text"]}'
+            _flag(name), f'missing; {by_name[name].metadata["text"]}'
         )
     return SettingFault(_flag(name), message)
 
--- a/worksrail/daemon/_signals.py
+++ b/worksrail/daemon/_signals.py
@@ -1,10 +1,10 @@
-"""Signals of a program that serves, over its whole life.
+"""Signal handling of the daemons, from start to exit.
 
-What a process does not take ends it, and cuts off what it serves.  While its
-event loop runs, the loop takes them.  Before that, and after it, they are
-blocked: they wait until the loop takes them, or until the process is gone.
+A signal without a handler ends the process and aborts its requests.  While
+the event loop runs, it handles signals.  Before and after that they are
+blocked, and stay pending until the loop handles them or the process exits.
 
-This module is the first one that a program loads, so it loads little itself.
+This is the first module that a program imports, so it imports little itself.
 """
 
 import signal
@@ -15,30 +15,30 @@
 if TYPE_CHECKING:
     from asyncio import AbstractEventLoop
 
-_STOPPING: Final = (signal.SIGTERM, signal.SIGINT)
-_TAKEN: Final = (*_STOPPING, signal.SIGHUP)
-# An interrupt from a terminal may end a program that does not serve yet.
-_WAITING: Final = (signal.SIGTERM, signal.SIGHUP)
+_STOP_SIGNALS: Final = (signal.SIGTERM, signal.SIGINT)
+_HANDLED_SIGNALS: Final = (*_STOP_SIGNALS, signal.SIGHUP)
+# SIGINT from a terminal may end a program that does not serve yet.
+_BLOCKED_AT_START: Final = (signal.SIGTERM, signal.SIGHUP)
 
 
 def hold_first_signals() -> None:
-    """Keep signals waiting until the loop takes them.
+    """Block signals until the loop handles them.
 
-    To be called before anything else is loaded, which takes 0.2 s and more.  A
-    SIGHUP in that time ended the process, and so did a SIGTERM, with -15
-    instead of 0.
+    To be called before the other imports, which take 0.2 s and more.  During
+    that time a SIGHUP would end the process, and so would a SIGTERM, with exit
+    status -15 instead of 0.
     """
-    signal.pthread_sigmask(signal.SIG_BLOCK, _WAITING)
+    signal.pthread_sigmask(signal.SIG_BLOCK, _BLOCKED_AT_START)
 
 
 def keep_signals_from_threads(loop: 'AbstractEventLoop') -> None:
-    """Let only the main thread get signals; to be called before any other runs.
+    """Block signals in worker threads; to be called before any is started.
 
-    A thread of the loop's pool ends a little after it was joined, when signals
-    have their default action back already: with a SIGINT every 2 ms, beside
-    other load, 5 of some 190 stops ended with -2, and none of 270 this way.
+    A thread of the loop's pool ends shortly after it was joined, when signals
+    already have their default action again.  With a SIGINT every 2 ms and other
+    load, 5 of about 190 stops exited with -2; with blocking, none of 270 did.
     """
-    # Not loaded with this module, which has to be quick.
+    # Imported here, since the import of this module must be fast.
     pools = import_module('concurrent.futures')
     pool = pools.ThreadPoolExecutor(initializer=hold_last_signals)
     loop.set_default_executor(pool)
@@ -49,19 +49,19 @@
     stop: Callable[[], None],
     reload: Callable[[], None],
 ) -> None:
-    """Let the loop take signals, also those that wait already."""
-    for number in _STOPPING:
+    """Install the loop's signal handlers and unblock pending signals."""
+    for number in _STOP_SIGNALS:
         loop.add_signal_handler(number, stop)
     loop.add_signal_handler(signal.SIGHUP, reload)
-    signal.pthread_sigmask(signal.SIG_UNBLOCK, _TAKEN)
+    signal.pthread_sigmask(signal.SIG_UNBLOCK, _HANDLED_SIGNALS)
 
 
 def hold_last_signals() -> None:
-    """Keep signals waiting until the process is gone.
+    """Block signals until the process exits.
 
-    To be called while the loop still takes them, as its last work.  A loop that
-    is closed gives signals their default action back, and a stop that was
-    complete ended with -1, -2 or -15 instead of 0: each of eight times with a
-    signal every 2 ms until the end.
+    To be called last while the loop still handles signals.  Closing the loop
+    restores their default action, so that a signal after a completed stop
+    changes the exit status from 0 to -1, -2 or -15: in eight of eight trials
+    with a signal every 2 ms until the exit.
     """
-    signal.pthread_sigmask(signal.SIG_BLOCK, _TAKEN)
+    signal.pthread_sigmask(signal.SIG_BLOCK, _HANDLED_SIGNALS)
--- a/worksrail/daemon/_timeline.py
+++ b/worksrail/daemon/_timeline.py
@@ -1,9 +1,9 @@
-"""The time line: what this process did, in an order that merges causally.
+"""Time line of a process's events, ordered by a hybrid logical clock.
 
-Each event carries a hybrid logical clock: wall time, advanced past every
-time stamp received from others, with a counter for ties.  Sorted by it, a
-message's sending always comes before its receipt, whatever the wall clocks
-of the instances show.
+Each stamp is wall time, advanced past every stamp received from other
+instances, with a counter for ties.  In the merged time lines of several
+instances the sending of a message therefore precedes its receipt, even if
+their wall clocks differ.
 """
 
 from collections import deque
@@ -15,44 +15,44 @@
 
 from worksrail.core.effects import Note
 
-_CAPACITY: Final = 20_000
+_MAX_EVENTS: Final = 20_000
 
 
 class Stamp(msgspec.Struct, frozen=True, array_like=True, order=True):
     """A point on the time line."""
 
     wall: float
-    """Wall-clock time in seconds, never behind what was received."""
+    """Wall-clock time in seconds, never before a received stamp."""
 
     count: int
-    """Order among equal times."""
+    """Counter that orders stamps with equal times."""
 
 
 class TimelineEvent(msgspec.Struct, frozen=True):
-    """One event as operators see it."""
+    """One event, as shown to operators."""
 
     at: Stamp
-    """Where it stands."""
+    """Stamp of the event."""
 
     instance: str
     """Name and incarnation of the instance."""
 
     kind: str
-    """What happened."""
+    """Kind of the event."""
 
     subject: str = ''
-    """What it is about."""
+    """Object that the event concerns, such as an upstream."""
 
     trace: str = ''
-    """Identifier of the request it belongs to."""
+    """Trace identifier of the request, if any."""
 
     generation: int = 0
-    """Generation it belongs to."""
+    """Generation of the configuration, if any."""
 
 
 @dataclass(slots=True)
 class Timeline:
-    """The last events of this process."""
+    """The most recent events of this process."""
 
     instance: str
     """Name and incarnation of this instance."""
@@ -61,15 +61,15 @@
     """Wall-clock time in seconds."""
 
     events: deque[TimelineEvent] = field(
-        default_factory=lambda: deque(maxlen=_CAPACITY)
+        default_factory=lambda: deque(maxlen=_MAX_EVENTS)
     )
     """The events, oldest first."""
 
     last: Stamp = Stamp(0, 0)
-    """The last stamp given or received."""
+    """Latest stamp that was issued or received."""
 
     def stamp(self) -> Stamp:
-        """The next stamp, for an event or a message to send."""
+        """Issue the next stamp, for an event or an outgoing message."""
         now = round(self.clock(), 6)
         if now > self.last.wall:
             self.last = Stamp(now, 0)
@@ -77,8 +77,8 @@
             self.last = Stamp(self.last.wall, self.last.count + 1)
         return self.last
 
-    def witness(self, stamp: Stamp) -> None:
-        """Take in the stamp of a received message."""
+    def observe(self, stamp: Stamp) -> None:
+        """Advance the clock past the stamp of a received message."""
         self.last = max(self.last, stamp)
 
     def add(self, note: Note, trace: str) -> TimelineEvent:
@@ -95,5 +95,5 @@
         return event
 
     def since(self, stamp: Stamp) -> list[TimelineEvent]:
-        """Events after a stamp."""
+        """Return the events after a stamp."""
         return [event for event in self.events if event.at > stamp]
--- a/worksrail/daemon/_tls.py
+++ b/worksrail/daemon/_tls.py
@@ -1,4 +1,4 @@
-"""Mutual TLS between instances, with certificates that can be replaced."""
+"""Mutual TLS between instances, with reloadable certificates."""
 
 import os
 import ssl
@@ -14,43 +14,43 @@
 
 @dataclass(slots=True)
 class PeerTls:
-    """The two contexts of an instance, and the files behind them.
+    """Server and client TLS contexts, and the files they are loaded from.
 
-    A file that changes is loaded into the same contexts, so that keys are
-    replaced without a restart: new connections use the new certificate.
+    Changed files are loaded into the same contexts, so that certificates can be
+    rotated without a restart; new connections use the new certificate.
     """
 
     settings: DaemonSettings
-    """Names the files."""
+    """Settings with the paths of the files."""
 
     server: ssl.SSLContext
-    """For connections that arrive."""
+    """Context for incoming connections."""
 
     client: ssl.SSLContext
-    """For connections that leave."""
+    """Context for outgoing connections."""
 
     loaded: tuple[float, ...] = ()
-    """Change times of the files when they were loaded."""
+    """Modification times of the loaded files."""
 
     @classmethod
     def from_settings(cls, settings: DaemonSettings) -> 'PeerTls | None':
-        """Contexts for the files in the settings; None without files."""
+        """Load the files in the settings into contexts; None without files."""
         if not settings.tls_ca:
             return None
         server = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
         server.verify_mode = ssl.CERT_REQUIRED
         client = ssl.create_default_context(ssl.Purpose.SERVER_AUTH)
-        # Instances are addressed by IP number; the CA signs instances only.
+        # Instances are addressed by IP; the CA signs only their certificates.
         client.check_hostname = False
         tls = cls(settings, server, client)
         tls.load()
         return tls
 
     def reload(self) -> bool:
-        """Load the files again if one of them changed and all are usable.
+        """Reload the files if one of them changed and all are valid.
 
-        While they are being replaced they may be missing, cut, or not belong
-        together; the next look finds them whole.
+        During a replacement they may be missing, truncated or inconsistent;
+        the next call loads them once they are complete.
         """
         try:
             return self.load()
--- a/worksrail/daemon/main.py
+++ b/worksrail/daemon/main.py
@@ -1,4 +1,4 @@
-"""``worksraild``: one entry instance of worksrail."""
+"""``worksraild``: runs one entry instance of worksrail."""
 
 import asyncio
 import itertools
@@ -59,59 +59,59 @@
 
 _LOG: Final = Logger('worksrail.daemon')
 _RELOAD_INTERVAL: Final = 1.0
-_FLUSH_TIME: Final = 1.0
-_OPERATOR_BODY: Final = 4_194_304
-_MICROSECONDS: Final = 1_000_000
+_FLUSH_TIMEOUT: Final = 1.0
+_MAX_OPERATOR_BODY: Final = 4_194_304
+_NANOSECONDS_PER_MILLISECOND: Final = 1_000_000
 
 
 @dataclass(slots=True)
 class Daemon:
-    """All parts of one process."""
+    """Components of one process."""
 
     settings: DaemonSettings
-    """Checked settings."""
+    """Validated settings."""
 
     engine: Engine
-    """Events, state and effects."""
+    """Applies events to the state and runs the effects."""
 
     requests: HttpRequests
-    """Requests under way."""
+    """Requests in progress."""
 
     peers: PeerClient
-    """Messages to other instances."""
+    """Client for messages to other instances."""
 
     sync: PlatformSync
-    """Reads from the platform."""
+    """Reads from and writes to the platform's store."""
 
     desk: Desk
-    """Operators' orders."""
+    """Executes the operations of operators."""
 
     tls: PeerTls | None
-    """TLS between instances."""
+    """TLS contexts for connections between instances, if configured."""
 
     stopped: asyncio.Event
     """Set when a graceful stop is complete."""
 
     caller_server: ExchangeServer | None = None
-    """Serves callers."""
+    """Server for callers."""
 
     passing_server: ExchangeServer | None = None
-    """Serves other instances' requests."""
+    """Server for requests passed on by other instances."""
 
     operator_server: HTTPServer | None = None
-    """Serves operators."""
+    """Server for operators."""
 
     peer_server: Server | None = None
-    """Takes messages."""
+    """Server for messages of other instances."""
 
     tasks: list[asyncio.Task[None]] = field(default_factory=list)
-    """Work in the background."""
+    """Background tasks."""
 
     @classmethod
     def from_settings(cls, settings: DaemonSettings) -> 'Daemon':
-        """Build all parts; nothing listens yet."""
+        """Create all components without listening."""
         stopped = asyncio.Event()
-        engine = _engine(settings, stopped)
+        engine = _create_engine(settings, stopped)
         tls = PeerTls.from_settings(settings)
         context = tls.client if tls else None
         signer = TicketSigner(
@@ -127,7 +127,7 @@
             ConnectionPool(engine.now, context),
             lambda: signer,
         )
-        peers = PeerClient(engine, context, _delays(settings.peer_delay))
+        peers = PeerClient(engine, context, _parse_delays(settings.peer_delay))
         store = StoreClient(
             settings.store,
             lambda kind: engine.metrics.store_calls.labels(kind).inc(),
@@ -154,14 +154,14 @@
         await self._close()
 
     def stop(self) -> None:
-        """Begin a graceful stop."""
+        """Start a graceful stop."""
         self.engine.dispatch(StopRequested(self.engine.now()))
 
     def reload(self) -> None:
-        """Load what may have changed while this process runs: certificates.
+        """Reload the certificates.
 
-        Flags and environment cannot change; bundles and keys are read from the
-        store as soon as they do.
+        Flags and environment cannot change in a running process; changed
+        bundles and keys are read from the store without a reload.
         """
         _LOG.info('reload asked for')
         self._load_certificates()
@@ -183,21 +183,21 @@
         self.caller_server = ExchangeServer(
             CallerHandler(self.requests), limits, numbers
         )
-        _listen_at(self.caller_server, settings.caller)
+        _listen_on(self.caller_server, settings.caller)
         self.passing_server = ExchangeServer(
             PassedHandler(self.requests),
             limits,
             numbers,
             ssl_options=self.tls.server if self.tls else None,
         )
-        _listen_at(self.passing_server, settings.passing)
+        _listen_on(self.passing_server, settings.passing)
         application = operator_application(
             self.engine, self.desk, OperatorTokens(settings.operator_tokens)
         )
         self.operator_server = HTTPServer(
-            application, max_body_size=_OPERATOR_BODY
+            application, max_body_size=_MAX_OPERATOR_BODY
         )
-        _listen_at(self.operator_server, settings.operator)
+        _listen_on(self.operator_server, settings.operator)
         service = PeerService(self.engine, self.sync.cache.read)
         self.peer_server = await start_peer_server(
             service, settings.peer, self.tls.server if self.tls else None
@@ -218,7 +218,7 @@
         for task in self.tasks:
             task.cancel()
         self.sync.stop()
-        await self.peers.flush(_FLUSH_TIME)
+        await self.peers.flush(_FLUSH_TIMEOUT)
         for server in (
             self.caller_server,
             self.passing_server,
@@ -226,9 +226,9 @@
         ):
             if server:
                 server.stop()
-        for exchanging in (self.caller_server, self.passing_server):
-            if exchanging:
-                await exchanging.close_connections()
+        for exchange_server in (self.caller_server, self.passing_server):
+            if exchange_server:
+                await exchange_server.close_connections()
         if self.peer_server:
             await stop_peer_server(self.peer_server)
         self.peers.close()
@@ -243,7 +243,7 @@
     """Check the settings, then serve; ``--check`` only checks."""
     settings = load_settings(flags)
     if not isinstance(settings, DaemonSettings):
-        _refuse(settings)
+        _exit_with_faults(settings)
     if check:
         sys.stdout.write('the settings are valid\n')
         return
@@ -257,7 +257,7 @@
     hold_last_signals()
 
 
-def _refuse(faults: list[SettingFault]) -> NoReturn:
+def _exit_with_faults(faults: list[SettingFault]) -> NoReturn:
     code = ResultCode.INVALID_SETTINGS
     document = {
         'result': code.number,
@@ -271,8 +271,10 @@
     sys.exit(code.value.exit_code)
 
 
-def _engine(settings: DaemonSettings, stopped: asyncio.Event) -> Engine:
-    who = Incarnation(settings.name, time.time_ns() // _MICROSECONDS)
+def _create_engine(settings: DaemonSettings, stopped: asyncio.Event) -> Engine:
+    who = Incarnation(
+        settings.name, time.time_ns() // _NANOSECONDS_PER_MILLISECOND
+    )
     core = CoreSettings(
         heartbeat_interval=settings.heartbeat,
         heartbeat_fanout=settings.heartbeat_fanout,
@@ -299,11 +301,11 @@
     )
 
 
-def _listen_at(server: ExchangeServer | HTTPServer, address: str) -> None:
+def _listen_on(server: ExchangeServer | HTTPServer, address: str) -> None:
     host, _, port = address.partition(':')
     server.listen(int(port), host)
 
 
-def _delays(text: str) -> dict[str, float]:
+def _parse_delays(text: str) -> dict[str, float]:
     pairs = [part.partition('=') for part in text.split(',') if part]
     return {region: float(seconds) for region, _, seconds in pairs}
--- a/worksrail/daemon/operators/__init__.py
+++ b/worksrail/daemon/operators/__init__.py
@@ -1,1 +1,1 @@
-"""What operators ask of an instance."""
+"""HTTP API for operators."""
--- a/worksrail/daemon/operators/_api.py
+++ b/worksrail/daemon/operators/_api.py
@@ -1,4 +1,4 @@
-"""The operators' port: JSON over HTTP, with a token, and the metrics."""
+"""Operators API: JSON over HTTP with bearer tokens, and the metrics."""
 
 import hashlib
 import hmac
@@ -20,19 +20,19 @@
 
 _LOG: Final = Logger('worksrail.operators')
 _BEARER: Final = 'Bearer '
-_BODY_LIMIT: Final = 2_097_152
+_MAX_BODY_BYTES: Final = 2_097_152
 
 
 class OperatorTokens:
-    """Operators by the digest of their token."""
+    """Operators, identified by the SHA-256 digest of their token."""
 
     def __init__(self, text: str) -> None:
-        """Read ``name=SHA256,name=SHA256``."""
+        """Parse ``name=SHA256,name=SHA256``."""
         pairs = [part.partition('=') for part in text.split(',') if part]
         self.digests = [(name, digest) for name, _, digest in pairs]
 
     def operator(self, header: str) -> str:
-        """Name of the operator with a token; empty when there is none."""
+        """Return the operator for an ``Authorization`` header, or ``''``."""
         if not header.startswith(_BEARER):
             return ''
         token = header.removeprefix(_BEARER).encode()
@@ -45,7 +45,7 @@
 
 
 class OperatorHandler(RequestHandler):
-    """Base of all calls: who calls, and how results are told."""
+    """Base handler: authentication and the format of answers."""
 
     def initialize(
         self,
@@ -53,14 +53,14 @@
         desk: Desk,
         tokens: OperatorTokens,
     ) -> None:
-        """Take what the application hands to each call."""
+        """Store the objects passed to each handler by the application."""
         self.engine = engine
         self.desk = desk
         self.tokens = tokens
         self.operator = ''
 
     def prepare(self) -> None:
-        """Refuse calls without a valid token."""
+        """Refuse requests without a valid token."""
         self.operator = self.tokens.operator(
             self.request.headers.get('Authorization', '')
         )
@@ -85,14 +85,14 @@
         )
 
     def answer(self, document: object) -> None:
-        """Answer with a document."""
+        """Answer with a JSON document."""
         self.set_header('Content-Type', 'application/json')
         if is_dataclass(document) and not isinstance(document, type):
             document = asdict(document)
         self.finish(msgspec.json.encode(document))
 
-    def told(self, outcome: object) -> None:
-        """Answer with what an operation gave."""
+    def answer_outcome(self, outcome: object) -> None:
+        """Log an operation, and answer with its result or refusal."""
         _LOG.info(
             'operator call',
             extra={
@@ -108,7 +108,7 @@
             self.answer(outcome)
 
     def arguments(self) -> dict[str, Any]:
-        """The JSON object in the body; empty when there is none."""
+        """Return the JSON object in the body; empty if there is none."""
         try:
             return msgspec.json.decode(
                 self.request.body or b'{}', type=dict[str, Any]
@@ -117,7 +117,7 @@
             return {}
 
     def write_error(self, status_code: int, **details: Any) -> None:
-        """Answer an unexpected failure with a result code too."""
+        """Answer an unexpected error with a result code."""
         self.refuse(
             Refused(ResultCode.INVALID_ARGUMENT, f'status {status_code}')
         )
@@ -129,7 +129,7 @@
     async def post(self) -> None:
         """Submit a bundle."""
         text = self.request.body.decode(errors='replace')
-        self.told(await self.desk.submit(text, self.operator))
+        self.answer_outcome(await self.desk.submit(text, self.operator))
 
 
 class BundleHandler(OperatorHandler):
@@ -137,7 +137,7 @@
 
     async def get(self, digest: str) -> None:
         """Show a bundle."""
-        self.told(await self.desk.show(digest))
+        self.answer_outcome(await self.desk.show(digest))
 
 
 class ApproveHandler(OperatorHandler):
@@ -145,14 +145,14 @@
 
     async def post(self, digest: str) -> None:
         """Approve a bundle."""
-        self.told(await self.desk.approve(digest, self.operator))
+        self.answer_outcome(await self.desk.approve(digest, self.operator))
 
 
 class RollHandler(OperatorHandler):
     """``POST /v1/roll`` with digest, base and operation."""
 
     async def post(self) -> None:
-        """Roll a bundle."""
+        """Roll out a bundle."""
         arguments = self.arguments()
         base = arguments.get('base')
         operation = str(arguments.get('operation', ''))
@@ -164,7 +164,7 @@
                 )
             )
             return
-        self.told(
+        self.answer_outcome(
             await self.desk.roll(
                 str(arguments.get('digest', '')),
                 base,
@@ -178,15 +178,15 @@
     """``GET /v1/history``."""
 
     async def get(self) -> None:
-        """Tell all generations on record."""
-        self.told(await self.desk.history())
+        """Return all generations on record."""
+        self.answer_outcome(await self.desk.history())
 
 
 class DrainHandler(OperatorHandler):
     """``POST /v1/drains`` with kind, name, add, dry_run and force."""
 
     def get(self) -> None:
-        """Tell what remains at drained upstreams, at this entry."""
+        """Return this entry's requests in flight at drained upstreams."""
         self.answer({'remaining': remaining_work(self.engine.instance)})
 
     async def post(self) -> None:
@@ -203,7 +203,7 @@
             )
             return
         drain = Drain(DrainKind(kind), str(arguments.get('name', '')))
-        self.told(
+        self.answer_outcome(
             await self.desk.change_drains(
                 drain,
                 self.operator,
@@ -218,7 +218,7 @@
     """``GET /v1/status``."""
 
     def get(self) -> None:
-        """Tell what this instance knows of all instances."""
+        """Return the status of all instances known to this one."""
         instance = self.engine.instance
         now = self.engine.now()
         records = [instance.record(now)]
@@ -260,14 +260,19 @@
     """``GET /v1/timeline?wall=&count=``."""
 
     def get(self) -> None:
-        """Tell the events of this instance after a stamp."""
+        """Return the events of this instance after a stamp."""
         try:
             stamp = Stamp(
                 float(self.get_argument('wall', '0')),
                 int(self.get_argument('count', '0')),
             )
         except ValueError:
-            self.refuse(Refused(ResultCode.INVALID_ARGUMENT, 'wall, count'))
+            self.refuse(
+                Refused(
+                    ResultCode.INVALID_ARGUMENT,
+                    'expected numbers for wall and count',
+                )
+            )
             return
         self.answer({'events': self.engine.timeline.since(stamp)})
 
@@ -276,8 +281,8 @@
     """``GET /v1/explain?client=&service=``."""
 
     def get(self) -> None:
-        """Tell what a caller would get now, and why."""
-        self.told_or_code(
+        """Return which upstreams a caller would get now, and why."""
+        self.answer_explanation(
             explain(
                 self.engine.instance,
                 self.get_argument('client', ''),
@@ -286,23 +291,23 @@
             )
         )
 
-    def told_or_code(self, outcome: object) -> None:
+    def answer_explanation(self, outcome: object) -> None:
         """Answer with an explanation or with a result code."""
         if isinstance(outcome, ResultCode):
             self.refuse(Refused(outcome))
         else:
-            self.told(outcome)
+            self.answer_outcome(outcome)
 
 
 class MetricsHandler(RequestHandler):
     """``GET /metrics``; needs no token."""
 
     def initialize(self, engine: Engine) -> None:
-        """Take what the application hands to each call."""
+        """Store the objects passed to each handler by the application."""
         self.engine = engine
 
     def get(self) -> None:
-        """Tell all metrics."""
+        """Return all metrics."""
         self.set_header('Content-Type', 'text/plain; version=0.0.4')
         self.finish(self.engine.metrics.render(self.engine.instance))
 
@@ -312,7 +317,7 @@
     desk: Desk,
     tokens: OperatorTokens,
 ) -> Application:
-    """All calls of the operators' port."""
+    """Create the application of the operator port."""
     shared = {'engine': engine, 'desk': desk, 'tokens': tokens}
     return Application(
         [
@@ -334,12 +339,12 @@
 
 
 class _UnknownHandler(OperatorHandler):
-    """Any other path."""
+    """Handles unknown paths."""
 
     def prepare(self) -> None:
-        """Refuse it."""
+        """Refuse the request."""
         self.refuse(Refused(ResultCode.INVALID_ARGUMENT, self.request.path))
 
 
 def _no_log(handler: RequestHandler) -> None:
-    """Calls are logged by the handlers themselves."""
+    """Do nothing; the handlers log the operations themselves."""
--- a/worksrail/daemon/operators/_desk.py
+++ b/worksrail/daemon/operators/_desk.py
@@ -1,8 +1,8 @@
-"""Submits, approves and rolls bundles, and changes the list of drains.
+"""Operations on bundles and drains, stored in the platform's store.
 
-Every change is one conditional update.  An operation id, chosen by the
-operator's tool, makes it idempotent: when the answer of a write was lost, or
-the tool was run again, the id found in what is stored tells what happened.
+Every change is one conditional update.  Rolls carry an operation id, chosen by
+the operator's tool, that makes them idempotent: if the answer of a write was
+lost or the tool was run again, the id in the stored head shows the outcome.
 """
 
 import asyncio
@@ -40,79 +40,79 @@
 from worksrail.daemon.platform._store import StoreClient, StoreFault
 
 _Record = TypeVar('_Record')
-_TRIES: Final = 6
-_PAUSE: Final = 0.3
-_FIRST: Final = 0
+_MAX_TRIES: Final = 6
+_RETRY_DELAY: Final = 0.3
+_NO_GENERATION: Final = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """A refused operation."""
+    """Why an operation was refused."""
 
     code: ResultCode
-    """Why."""
+    """Result code."""
 
     detail: str = ''
-    """More about it."""
+    """Further details."""
 
     faults: BundleFaults | None = None
-    """All faults of a refused bundle."""
+    """All faults of an invalid bundle."""
 
     figures: tuple[DrainImpact, ...] = ()
-    """Figures of a refused drain."""
+    """Expected impact of a refused drain."""
 
 
 @dataclass(frozen=True, slots=True)
 class DrainChange:
-    """A changed drain list, or what a change would do."""
+    """A changed drain list, or the impact of a change in a dry run."""
 
     revision: int
     """Revision of the list."""
 
     targets: tuple[str, ...]
-    """``kind/name`` of each drain."""
+    """Targets of the drains, as ``kind/name``."""
 
     figures: tuple[DrainImpact, ...]
-    """What it does to services and regions."""
+    """Expected impact on each service and region."""
 
 
 @dataclass(slots=True)
 class Desk:
-    """Carries out what operators order."""
+    """Executes the operations requested by operators."""
 
     engine: Engine
-    """Knows the configuration in force."""
+    """Holds the configuration in force, and receives the events."""
 
     store: StoreClient
-    """The platform's object API."""
+    """Client of the platform's object API."""
 
     cache: ChunkCache
-    """Chunks of bundles."""
+    """Cache of bundle chunks."""
 
     async def submit(self, text: str, operator: str) -> Submission | Refused:
-        """Store a bundle for review; submitting it twice is harmless."""
+        """Store a bundle for review; idempotent."""
         bundle = parse_bundle(text)
         if isinstance(bundle, BundleFaults):
             return Refused(bundle.code, faults=bundle)
         packed = pack_bundle(bundle)
         for digest, payload in packed.chunks.items():
-            if not await self._stored_once(chunk_key(digest), payload):
+            if not await self._create(chunk_key(digest), payload):
                 return Refused(ResultCode.STORE_UNAVAILABLE)
         record = Submission(packed.digest, bundle.name, operator, time.time())
         key = submission_key(packed.digest)
-        if not await self._stored_once(key, encode(record)):
+        if not await self._create(key, encode(record)):
             return Refused(ResultCode.STORE_UNAVAILABLE)
         return await self._submission(packed.digest)
 
     async def approve(self, digest: str, operator: str) -> Approval | Refused:
-        """Approve exactly the bundle of that digest."""
+        """Approve the bundle with that digest; not allowed to its submitter."""
         submission = await self._submission(digest)
         if isinstance(submission, Refused):
             return submission
         if submission.submitter == operator:
             return Refused(ResultCode.SELF_APPROVAL)
         record = Approval(digest, operator, time.time())
-        if not await self._stored_once(approval_key(digest), encode(record)):
+        if not await self._create(approval_key(digest), encode(record)):
             return Refused(ResultCode.STORE_UNAVAILABLE)
         return record
 
@@ -123,24 +123,24 @@
         operation: str,
         operator: str,
     ) -> Generation | Refused:
-        """Bring an approved bundle into force over a known generation."""
-        for attempt in range(_TRIES):
+        """Roll out an approved bundle if generation ``base`` is in force."""
+        for attempt in range(_MAX_TRIES):
             if attempt:
-                await asyncio.sleep(_PAUSE)
+                await asyncio.sleep(_RETRY_DELAY)
             outcome = await self._roll_once(digest, base, operation, operator)
             if not isinstance(outcome, WriteOutcome):
                 return outcome
         return Refused(ResultCode.STORE_UNAVAILABLE, operation)
 
     async def history(self) -> Head | Refused:
-        """All generations that are on record."""
+        """Return all generations on record."""
         stored = await self._read(HEAD_KEY, Head)
         if stored is StoreFault.NOT_FOUND:
             return Refused(ResultCode.UNKNOWN_BUNDLE)
         return stored[1] if isinstance(stored, tuple) else _refusal(stored)
 
     async def show(self, digest: str) -> Bundle | Refused:
-        """A bundle as it was submitted."""
+        """Return a submitted bundle."""
         bundle = await self.cache.fetch(digest, [self._stored_chunk])
         if isinstance(bundle, Bundle):
             return bundle
@@ -155,7 +155,7 @@
         dry_run: bool = False,
         force: bool = False,
     ) -> DrainChange | Refused:
-        """Add a drain to the list, or take it off."""
+        """Add a drain to the list or remove it."""
         if not is_known_target(self.engine.instance, drain):
             return Refused(ResultCode.UNKNOWN_TARGET, drain.name)
         figures: tuple[DrainImpact, ...] = ()
@@ -191,26 +191,26 @@
         done = head.find(operation) if head else None
         if done:
             return done
-        in_force = head.newest.generation if head else _FIRST
+        in_force = head.newest.generation if head else _NO_GENERATION
         if in_force != base:
             return Refused(
                 ResultCode.ROLL_CONFLICT,
                 f'generation {in_force} is in force, not {base}',
             )
-        entry = await self._entry(digest, base, operation, operator)
+        entry = await self._new_generation(digest, base, operation, operator)
         if not isinstance(entry, Generation):
             return entry
         changed = head.extended(entry) if head else Head((entry,))
         report = await self.store.write(HEAD_KEY, encode(changed), version)
         if report.outcome is not WriteOutcome.DONE:
-            # Whether it took effect is found by reading it back.
+            # The next try reads the head, which shows whether it took effect.
             return WriteOutcome.UNKNOWN
         self.engine.dispatch(
             HeadSeen(self.engine.now(), entry.generation, entry.digest)
         )
         return entry
 
-    async def _entry(
+    async def _new_generation(
         self,
         digest: str,
         base: int,
@@ -232,8 +232,8 @@
             return Refused(ResultCode.CORRUPT_OBJECT, approval_key(digest))
         if approval.approver == submission.submitter:
             return Refused(ResultCode.SELF_APPROVAL)
-        # A store that was restored to an older state may lag behind what
-        # is in force; generations never go back.
+        # A store restored from a backup may hold an older generation than the
+        # one in force; generations must never decrease.
         highest = max(base, self.engine.instance.configuration.generation)
         return Generation(
             highest + 1,
@@ -261,7 +261,7 @@
         add: bool,
     ) -> DrainChange | Refused:
         target = f'{drain.kind.value}/{drain.name}'
-        for _ in range(_TRIES):
+        for _ in range(_MAX_TRIES):
             stored = await self._read(DRAINS_KEY, DrainList)
             if isinstance(stored, Refused):
                 return stored
@@ -282,7 +282,7 @@
                     return DrainChange(
                         changed.revision, changed.targets, figures
                     )
-            await asyncio.sleep(_PAUSE)
+            await asyncio.sleep(_RETRY_DELAY)
         return Refused(ResultCode.STORE_UNAVAILABLE)
 
     def _changed_list(
@@ -302,11 +302,12 @@
         revision = max(old.revision if old else 0, configuration.drain_revision)
         return DrainList(revision + 1, tuple(sorted(targets)), operator)
 
-    async def _stored_once(self, key: str, payload: bytes) -> bool:
-        # Written at most once under its name; a conflict means it is there.
-        for attempt in range(_TRIES):
+    async def _create(self, key: str, payload: bytes) -> bool:
+        # The object is created with expected version zero, so a conflict means
+        # that it exists already.
+        for attempt in range(_MAX_TRIES):
             if attempt:
-                await asyncio.sleep(_PAUSE)
+                await asyncio.sleep(_RETRY_DELAY)
             report = await self.store.write(key, payload, 0)
             if report.outcome is not WriteOutcome.UNKNOWN:
                 return True
