--- a/examples/embedding/permits.py
+++ b/examples/embedding/permits.py
@@ -22,8 +22,8 @@
     print('ann has', ann_side.ledger.available(LICENCES, now=0))
     while ann_side.ledger.available(LICENCES, now=0):
         ann_side.ledger.take(LICENCES, now=0)
-    ann_side.set_shortage(GROUP, waiting=1)
-    (request,) = ann_side.request_loan(GROUP, [Lender(bob, idle=2)], now=0)
+    ann_side.note_shortage(GROUP, waiting=1)
+    (request,) = ann_side.ask(GROUP, [Lender(bob, idle=2)], now=0)
     reply = bob_side.on_request(request.message, ann, now=0.1)
     list(ann_side.on_grant(reply.message, bob, now=0.2))
     print('ann may use', ann_side.ledger.available(LICENCES, now=0.2), 'more')
--- a/tests/fuzz/test_permits.py
+++ b/tests/fuzz/test_permits.py
@@ -94,15 +94,13 @@
     @rule(name=st.sampled_from(_NAMES), waiting=st.integers(0, 4))
     def borrow(self, name: str, waiting: int) -> None:
         instance = self.instances[name]
-        instance.lending.set_shortage(_GROUP, waiting)
+        instance.lending.note_shortage(_GROUP, waiting)
         lenders = [
             Lender(other.who, None)
             for other in self.instances.values()
             if other is not instance
         ]
-        requests = instance.lending.request_loan(
-            _GROUP, lenders, self.clock(instance)
-        )
+        requests = instance.lending.ask(_GROUP, lenders, self.clock(instance))
         self.send(name, list(requests))
 
     @rule(name=st.sampled_from(_NAMES), key=st.sampled_from(list(_POOLS)))
@@ -111,7 +109,7 @@
         hold = instance.ledger.take(key, self.clock(instance))
         if isinstance(hold, Hold):
             instance.holds.append((hold, self.now))
-            instance.lending.record_use(_GROUP)
+            instance.lending.note_use(_GROUP)
 
     @rule(name=st.sampled_from(_NAMES), pick=st.integers(0, 9))
     def release(self, name: str, pick: int) -> None:
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -27,8 +27,8 @@
 
 
 def _request_loan(lending: Lending) -> int:
-    lending.set_shortage(_GROUP, 1)
-    (request,) = lending.request_loan(_GROUP, [Lender(_LENDER, 2)], now=0)
+    lending.note_shortage(_GROUP, 1)
+    (request,) = lending.ask(_GROUP, [Lender(_LENDER, 2)], now=0)
     return request.message.loan
 
 
--- a/worksrail/core/_borrowing.py
+++ b/worksrail/core/_borrowing.py
@@ -14,7 +14,7 @@
         yield from borrow(instance, group, now)
         if not group.startswith('slots'):
             # Shifted requests are refused, not queued: no shortage remains.
-            instance.lending.set_shortage(group, 0)
+            instance.lending.note_shortage(group, 0)
 
 
 def borrow(
@@ -33,7 +33,7 @@
             now, instance.settings, instance.place.region
         )
     ]
-    for ask in instance.lending.request_loan(group, lenders, now):
+    for ask in instance.lending.ask(group, lenders, now):
         yield send_effect(ask)
 
 
--- a/worksrail/core/_dispatching.py
+++ b/worksrail/core/_dispatching.py
@@ -90,7 +90,7 @@
         else:
             queue.put_first(queued)
             break
-    instance.lending.set_shortage(slot_group(service), len(queue))
+    instance.lending.note_shortage(slot_group(service), len(queue))
 
 
 def expire_retries(
@@ -253,7 +253,7 @@
     expires_at = now + min(upper_bound, _max_wait(instance, active, now))
     state.queue.put(QueuedRequest(active.number, expires_at))
     group = slot_group(active.service)
-    instance.lending.set_shortage(group, len(state.queue))
+    instance.lending.note_shortage(group, len(state.queue))
     yield from borrow(instance, group, now)
 
 
--- a/worksrail/core/_on_configuration.py
+++ b/worksrail/core/_on_configuration.py
@@ -164,7 +164,7 @@
             max_in_use = 0
         elif max_in_use is None:
             instance.monitored.discard(key)
-        instance.ledger.set_max_in_use(key, max_in_use)
+        instance.ledger.limit_pool(key, max_in_use)
         instance.ledger.refresh_pool(key, now)
 
 
--- a/worksrail/core/_on_time.py
+++ b/worksrail/core/_on_time.py
@@ -317,7 +317,7 @@
         return
     if instance.requests:
         return
-    instance.lending.mark_all_recalled()
+    instance.lending.recall_everything()
     for answer in instance.lending.return_all_loans(now):
         yield send_effect(answer)
     yield from _transfer_seats(instance, now)
--- a/worksrail/core/_placing.py
+++ b/worksrail/core/_placing.py
@@ -194,12 +194,12 @@
     for kind in (PoolKind.RATE, PoolKind.FLIGHT):
         key = cap_pool(kind, active.service, active.home)
         hold = instance.ledger.take(key, now)
-        instance.lending.record_use(cap_group(key))
+        instance.lending.note_use(cap_group(key))
         if isinstance(hold, NoPermit):
             release_all(instance, tuple(acquired), now)
-            instance.lending.set_shortage(cap_group(key), 1)
+            instance.lending.note_shortage(cap_group(key), 1)
             return ResultCode.CAP_REACHED
-        instance.lending.set_shortage(cap_group(key), 0)
+        instance.lending.note_shortage(cap_group(key), 0)
         acquired.append(hold)
     return tuple(acquired)
 
@@ -246,7 +246,7 @@
             continue
         hold = instance.ledger.take(key, now)
         if isinstance(hold, Hold):
-            instance.lending.record_use(group.key)
+            instance.lending.note_use(group.key)
             return hold
     if group.pools and all(map(instance.pacer.is_limited, group.pools)):
         return NoPermit.RATE_LIMITED
--- a/worksrail/core/permits/_ledger.py
+++ b/worksrail/core/permits/_ledger.py
@@ -127,7 +127,7 @@
             for pool in self.pools.values()
         )
 
-    def set_max_in_use(self, key: PoolKey, max_in_use: int | None) -> None:
+    def limit_pool(self, key: PoolKey, max_in_use: int | None) -> None:
         """Set the maximum of permits in use at once; None removes it."""
         pool = self.pools.get(key)
         if pool and pool.max_in_use != max_in_use:
--- a/worksrail/core/permits/_lending.py
+++ b/worksrail/core/permits/_lending.py
@@ -106,12 +106,12 @@
 
     # -- demand
 
-    def record_use(self, key: GroupKey) -> None:
+    def note_use(self, key: GroupKey) -> None:
         """Update the peak with the permits in use."""
         demand = self.demand(key)
         demand.peak = max(demand.peak, self.ledger.groups[key].in_use)
 
-    def set_shortage(self, key: GroupKey, waiting: int) -> None:
+    def note_shortage(self, key: GroupKey, waiting: int) -> None:
         """Set the number of requests that wait for a permit."""
         self.demand(key).shortage = waiting
 
@@ -134,7 +134,7 @@
 
     # -- borrowing
 
-    def request_loan(
+    def ask(
         self,
         key: GroupKey,
         lenders: Iterable[Lender],
@@ -259,7 +259,7 @@
             loan.recalled = True
             yield self._return_idle(loan, now)
 
-    def mark_all_recalled(self) -> None:
+    def recall_everything(self) -> None:
         """Stop renewing lent loans, so that each ends with its duration."""
         for lent in self.ledger.lent.values():
             lent.recalled = True
