--- a/worksrail/cli/__init__.py
+++ b/worksrail/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' tool."""
+"""Command-line tool for operators."""
--- a/worksrail/cli/_connection.py
+++ b/worksrail/cli/_connection.py
@@ -1,4 +1,4 @@
-"""Calls to the operators' port of the entries."""
+"""HTTP calls to the operators API of the entries."""
 
 import json
 import uuid
@@ -19,47 +19,47 @@
     """A call that ended with a result code."""
 
     code: ResultCode
-    """Which code."""
+    """Result code of the call."""
 
     document: Mapping[str, Any]
-    """What the entry told about it."""
+    """JSON document of the error response; empty if no entry was reached."""
 
 
 @dataclass(slots=True)
 class OperatorClient:
-    """Calls the first entry that answers.
+    """Calls the operators API of the first reachable entry.
 
-    Every call carries the same trace, which is found again in the logs of
-    the entries.
+    All calls carry the same trace identifier, which the entries write to
+    their logs.
     """
 
     entries: tuple[str, ...]
-    """Operator addresses of the entries."""
+    """Addresses of the operators API of the entries, tried in this order."""
 
     token: str
     """Bearer token."""
 
     trace: str = field(default_factory=lambda: uuid.uuid4().hex)
-    """Identifier of this run of the tool."""
+    """Trace identifier of this run of the tool."""
 
     def get(self, path: str, **query: Any) -> Any | Failure:
-        """Read something from the first entry that answers."""
-        return self._first('GET', _with_query(path, query), None)
+        """Send a GET request to the first reachable entry."""
+        return self._call_first_reachable('GET', _with_query(path, query), None)
 
     def post(self, path: str, document: object) -> Any | Failure:
-        """Order something at the first entry that answers."""
+        """Post a JSON document to the first reachable entry."""
         body = json.dumps(document).encode()
-        return self._first('POST', path, body)
+        return self._call_first_reachable('POST', path, body)
 
     def post_text(self, path: str, text: str) -> Any | Failure:
-        """Hand in a text."""
-        return self._first('POST', path, text.encode())
+        """Post a text to the first reachable entry."""
+        return self._call_first_reachable('POST', path, text.encode())
 
     def get_from(self, entry: str, path: str, **query: Any) -> Any | Failure:
-        """Read something from one entry."""
+        """Send a GET request to the given entry."""
         return self._call(entry, 'GET', _with_query(path, query), None)
 
-    def _first(
+    def _call_first_reachable(
         self,
         method: str,
         path: str,
@@ -80,7 +80,7 @@
     ) -> Any | Failure:
         client = HTTPClient()
         try:
-            answer = client.fetch(
+            response = client.fetch(
                 f'http://{entry}{path}',
                 method=method,
                 body=body,
@@ -91,12 +91,12 @@
                 request_timeout=_TIMEOUT,
             )
         except HTTPError as error:
-            return _failure(error.response)
+            return _parse_failure(error.response)
         except OSError:
             return Failure(ResultCode.ENTRY_UNREACHABLE, {})
         finally:
             client.close()
-        return json.loads(answer.body)
+        return json.loads(response.body)
 
 
 def _with_query(path: str, query: Mapping[str, Any]) -> str:
@@ -110,11 +110,11 @@
     )
 
 
-def _failure(answer: HTTPResponse | None) -> Failure:
-    if answer is None:
+def _parse_failure(response: HTTPResponse | None) -> Failure:
+    if response is None:
         return Failure(ResultCode.ENTRY_UNREACHABLE, {})
     try:
-        document = json.loads(answer.body)
+        document = json.loads(response.body)
         return Failure(code_by_number(document['result']), document)
     except (ValueError, KeyError, TypeError):
         return Failure(ResultCode.ENTRY_UNREACHABLE, {})
--- a/worksrail/cli/_keys.py
+++ b/worksrail/cli/_keys.py
@@ -12,19 +12,19 @@
 from cryptography.hazmat.primitives.asymmetric import ec
 from cryptography.x509.oid import ExtendedKeyUsageOID, NameOID
 
-from worksrail.cli._output import Output, invalid
+from worksrail.cli._output import Output, invalid_argument
 
 _CA_DAYS: Final = 3650
 _BACKDATE: Final = datetime.timedelta(minutes=5)
-_PRIVATE: Final = 0o600
+_PRIVATE_MODE: Final = 0o600
 _SECRET_BYTES: Final = 32
 
 
 class KeyCommands:
-    """Commands that make keys; nothing is sent anywhere."""
+    """Commands that make keys; nothing is sent over the network."""
 
     def __init__(self, output: Output) -> None:
-        """Use an output."""
+        """Print to ``output``."""
         self._output = output
 
     def ca(self, folder: str) -> None:
@@ -32,16 +32,16 @@
         place = Path(folder)
         place.mkdir(parents=True, exist_ok=True)
         if (place / 'ca.key').exists():
-            self._output.fail(invalid(f'{place / "ca.key"} exists'))
+            self._output.fail(invalid_argument(f'{place / "ca.key"} exists'))
         key = ec.generate_private_key(ec.SECP256R1())
-        name = _name('worksrail CA')
-        builder = _builder(name, name, key.public_key(), _CA_DAYS)
+        name = _common_name('worksrail CA')
+        builder = _certificate_builder(name, name, key.public_key(), _CA_DAYS)
         builder = builder.add_extension(
             x509.BasicConstraints(ca=True, path_length=0), critical=True
         )
         certificate = builder.sign(key, hashes.SHA256())
-        _write(place / 'ca.key', _key_text(key))
-        _write(place / 'ca.pem', _certificate_text(certificate))
+        _write_atomically(place / 'ca.key', _key_pem(key))
+        _write_atomically(place / 'ca.pem', _certificate_pem(certificate))
         self._output.line(f'made {place / "ca.pem"}', {'ca': str(place)})
 
     def issue(
@@ -53,8 +53,8 @@
     ) -> None:
         """Issue ``NAME.pem`` and ``NAME.key`` for an instance.
 
-        Running it again replaces both files; a running instance takes them
-        up by itself.
+        Running it again replaces both files; a running instance reloads them
+        by itself.
         """
         place = Path(folder)
         try:
@@ -67,11 +67,15 @@
                 for address in str(addresses).split(',')
             ]
         except (OSError, ValueError) as error:
-            self._output.fail(invalid(str(error)))
+            self._output.fail(invalid_argument(str(error)))
         if not isinstance(ca_key, ec.EllipticCurvePrivateKey):
-            self._output.fail(invalid('expected an elliptic-curve CA key'))
+            self._output.fail(
+                invalid_argument('expected an elliptic-curve CA key')
+            )
         key = ec.generate_private_key(ec.SECP256R1())
-        builder = _builder(_name(name), ca.subject, key.public_key(), days)
+        builder = _certificate_builder(
+            _common_name(name), ca.subject, key.public_key(), days
+        )
         builder = builder.add_extension(
             x509.SubjectAlternativeName(names), critical=False
         )
@@ -85,15 +89,15 @@
             critical=False,
         )
         certificate = builder.sign(ca_key, hashes.SHA256())
-        _write(place / f'{name}.key', _key_text(key))
-        _write(place / f'{name}.pem', _certificate_text(certificate))
+        _write_atomically(place / f'{name}.key', _key_pem(key))
+        _write_atomically(place / f'{name}.pem', _certificate_pem(certificate))
         self._output.line(
             f'issued {place / name}.pem for {days} days',
             {'certificate': f'{place / name}.pem'},
         )
 
     def token(self, operator: str) -> None:
-        """Make an operator token and the setting that admits it."""
+        """Make an operator token and the setting that accepts it."""
         token = secrets.token_urlsafe(_SECRET_BYTES)
         digest = hashlib.sha256(token.encode()).hexdigest()
         self._output.line(
@@ -107,11 +111,11 @@
         self._output.line(secret, {'secret': secret})
 
 
-def _name(text: str) -> x509.Name:
+def _common_name(text: str) -> x509.Name:
     return x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, text)])
 
 
-def _builder(
+def _certificate_builder(
     subject: x509.Name,
     issuer: x509.Name,
     public_key: ec.EllipticCurvePublicKey,
@@ -125,7 +129,7 @@
     return builder.not_valid_after(now + datetime.timedelta(days=days))
 
 
-def _key_text(key: ec.EllipticCurvePrivateKey) -> bytes:
+def _key_pem(key: ec.EllipticCurvePrivateKey) -> bytes:
     return key.private_bytes(
         serialization.Encoding.PEM,
         serialization.PrivateFormat.PKCS8,
@@ -133,13 +137,13 @@
     )
 
 
-def _certificate_text(certificate: x509.Certificate) -> bytes:
+def _certificate_pem(certificate: x509.Certificate) -> bytes:
     return certificate.public_bytes(serialization.Encoding.PEM)
 
 
-def _write(path: Path, content: bytes) -> None:
-    # Replaced at once, so that nobody reads half a file.
-    fresh = path.with_suffix(path.suffix + '.new')
-    fresh.touch(_PRIVATE)
-    fresh.write_bytes(content)
-    fresh.replace(path)
+def _write_atomically(path: Path, content: bytes) -> None:
+    # Replaces the file atomically, so that no reader sees a partial file.
+    temporary = path.with_suffix(path.suffix + '.new')
+    temporary.touch(_PRIVATE_MODE)
+    temporary.write_bytes(content)
+    temporary.replace(path)
--- a/worksrail/cli/_logs.py
+++ b/worksrail/cli/_logs.py
@@ -1,4 +1,4 @@
-"""Reads the log files of entries: what happened to one request."""
+"""Search of the log files of entries by request or subject."""
 
 from collections.abc import Iterable, Iterator
 from pathlib import Path
@@ -9,8 +9,15 @@
 from worksrail.cli._output import Output
 
 _COLUMNS: Final = ('at', 'entry', 'event', 'request', 'subject', 'inputs')
-_FIRST: Final = ('at', 'time', 'instance', 'message', 'request', 'subject')
-_SILENT: Final = frozenset(('level', 'channel', *_FIRST))
+_COLUMN_FIELDS: Final = (
+    'at',
+    'time',
+    'instance',
+    'message',
+    'request',
+    'subject',
+)
+_NON_INPUT_FIELDS: Final = frozenset(('level', 'channel', *_COLUMN_FIELDS))
 
 
 def show_logs(
@@ -19,22 +26,22 @@
     request: str,
     subject: str,
 ) -> None:
-    """Show the lines about a request or a subject, in order of time."""
+    """Print the lines about a request or a subject, sorted by time."""
     lines = [
         line
         for line in read_lines(files)
         if (not request or line.get('request') == request)
         and (not subject or line.get('subject') == subject)
     ]
-    lines.sort(key=_moment)
+    lines.sort(key=_timestamp)
     rows = [
         (
-            _moment(line),
+            _timestamp(line),
             line.get('instance', ''),
             line.get('message', ''),
             line.get('request', ''),
             line.get('subject', ''),
-            _inputs(line),
+            _format_inputs(line),
         )
         for line in lines
     ]
@@ -42,18 +49,18 @@
 
 
 def read_lines(files: Iterable[str]) -> Iterator[dict[str, Any]]:
-    """All JSON objects of some log files; other text is passed over.
+    """Yield the JSON objects of the log files; lines without one are skipped.
 
-    A line may have text before its object, as a collector puts there.
+    Text before the object, such as a log collector's prefix, is ignored.
     """
     for name in files:
         for text in Path(name).read_text(errors='replace').splitlines():
-            line = _decoded(text)
+            line = _parse_line(text)
             if line:
                 yield line
 
 
-def _decoded(text: str) -> dict[str, Any]:
+def _parse_line(text: str) -> dict[str, Any]:
     start = text.find('{')
     if start < 0:
         return {}
@@ -64,11 +71,11 @@
     return line if isinstance(line, dict) else {}
 
 
-def _moment(line: dict[str, Any]) -> str:
+def _timestamp(line: dict[str, Any]) -> str:
     return str(line.get('at') or line.get('time', ''))
 
 
-def _inputs(line: dict[str, Any]) -> str:
+def _format_inputs(line: dict[str, Any]) -> str:
     return ' '.join(
-        f'{name}={line[name]}' for name in line if name not in _SILENT
+        f'{name}={line[name]}' for name in line if name not in _NON_INPUT_FIELDS
     )
--- a/worksrail/cli/_losses.py
+++ b/worksrail/cli/_losses.py
@@ -1,8 +1,8 @@
-"""Why callers lost: a table of causes by time, from the logs of entries.
+"""Table of lost requests by cause and interval, from the logs of entries.
 
-Entries write every failure and refusal up to a limit a second, and samples of
-the rest; each second they tell how many they left out.  What was written is
-scaled by that, so the counts are estimates where a log was short.
+Entries log each failure and refusal up to a maximum per second, and samples of
+the rest; each second they log the number of omitted lines.  Counts are scaled
+up by that number, so they are estimates where lines were omitted.
 """
 
 from collections import Counter, defaultdict
@@ -17,22 +17,22 @@
 
 _SENT: Final = frozenset(('request-sent', 'request-repeated'))
 _ANSWERED: Final = 'request-answered'
-_LEFT_OUT: Final = 'lines-left-out'
-# Names under which entries count what they leave out, by how a request ended.
-_LATE_NAME: Final = 'LATE'
-_SERVED_NAME: Final = 'REQUEST_ANSWERED'
-_ENDS: Final = {
+_LINES_OMITTED: Final = 'lines-left-out'
+# Categories by which entries count omitted lines, by message of the log line.
+_LATE_CATEGORY: Final = 'LATE'
+_SERVED_CATEGORY: Final = 'REQUEST_ANSWERED'
+_LOSS_CATEGORIES: Final = {
     'request-refused': 'REQUEST_REFUSED',
     'request-failed': 'REQUEST_FAILED',
     'request-dropped': 'REQUEST_DROPPED',
 }
-# An execution that took so many times what was expected was slow.
-_SLOW: Final = 1.5
+# An execution is slow if it takes more than this multiple of the expected time.
+_SLOW_FACTOR: Final = 1.5
 
 
 @unique
 class LateCause(Enum):
-    """Why an answer was late, the first that applies."""
+    """Why an answer was late; the first cause that applies is reported."""
 
     RETURNED = 'late: came back after a refusal'
     REPEATED = 'late: sent more than once'
@@ -47,54 +47,54 @@
     """How one request ended."""
 
     at: float
-    """When, in seconds of the wall clock."""
+    """Time of the end, in seconds of the wall clock."""
 
     instance: str
-    """Entry that wrote it."""
+    """Entry that logged it."""
 
     name: str
-    """Name under which the entry limits such lines."""
+    """Category by which the entry limits such log lines."""
 
     cause: str
-    """Why it was lost; empty if it was served in time."""
+    """Cause of the loss; empty if the request was served in time."""
 
 
-def _counters() -> defaultdict[int, Counter[Any]]:
+def _counters_by_interval() -> defaultdict[int, Counter[Any]]:
     return defaultdict(Counter)
 
 
 @dataclass(slots=True)
 class LossTable:
-    """Counts of causes in intervals of time."""
+    """Counts of request ends by cause and interval."""
 
     every: float
-    """Seconds of an interval."""
+    """Length of an interval in seconds."""
 
-    written: defaultdict[int, Counter[tuple[str, str, str]]] = field(
-        default_factory=_counters
+    logged: defaultdict[int, Counter[tuple[str, str, str]]] = field(
+        default_factory=_counters_by_interval
     )
-    """Requests by interval, and by entry, name and cause."""
+    """Logged requests by interval, and by entry, category and cause."""
 
-    left_out: defaultdict[int, Counter[tuple[str, str]]] = field(
-        default_factory=_counters
+    omitted: defaultdict[int, Counter[tuple[str, str]]] = field(
+        default_factory=_counters_by_interval
     )
-    """Requests that were not written, by interval, entry and name."""
+    """Requests omitted from the logs, by interval, entry and category."""
 
     def add(self, end: RequestEnd) -> None:
         """Count the end of a request."""
         place = int(end.at // self.every)
-        self.written[place][end.instance, end.name, end.cause] += 1
+        self.logged[place][end.instance, end.name, end.cause] += 1
 
-    def add_left_out(self, line: dict[str, Any]) -> None:
-        """Take in an entry's word on what it left out."""
-        place = int(_seconds(line) // self.every)
+    def add_omitted(self, line: dict[str, Any]) -> None:
+        """Add the counts of omitted lines that an entry logged."""
+        place = int(_timestamp(line) // self.every)
         for name, count in line.get('requests', {}).items():
-            self.left_out[place][line.get('instance', ''), name] += count
+            self.omitted[place][line.get('instance', ''), name] += count
 
     def rows(self) -> Iterator[tuple[float, str, int]]:
-        """Start of an interval in seconds, cause, and estimated requests."""
-        first = min(self.written, default=0)
-        for place in sorted(self.written):
+        """Yield start of interval in seconds, cause and estimated requests."""
+        first = min(self.logged, default=0)
+        for place in sorted(self.logged):
             estimate = self._estimate(place)
             causes = sorted(estimate, key=estimate.__getitem__, reverse=True)
             for cause in causes:
@@ -102,62 +102,66 @@
                 yield (place - first) * self.every, cause, count
 
     def _estimate(self, place: int) -> dict[str, float]:
-        counts = self.written[place]
+        counts = self.logged[place]
         by_name: Counter[tuple[str, str]] = Counter()
         for (instance, name, _), count in counts.items():
             by_name[instance, name] += count
         estimate: dict[str, float] = defaultdict(float)
         for (instance, name, cause), count in counts.items():
-            known = by_name[instance, name]
-            missing = self.left_out[place][instance, name]
-            estimate[cause or 'served in time'] += count * (1 + missing / known)
+            logged = by_name[instance, name]
+            missing = self.omitted[place][instance, name]
+            estimate[cause or 'served in time'] += count * (
+                1 + missing / logged
+            )
         return estimate
 
 
 def show_losses(output: Output, files: Iterable[str], every: float) -> None:
-    """Show why requests were lost, by interval."""
+    """Print the causes of lost requests, by interval."""
     table = LossTable(every)
-    trails: dict[tuple[str, str], dict[str, Any]] = {}
+    last_sent: dict[tuple[str, str], dict[str, Any]] = {}
     for line in read_lines(files):
         who = (line.get('instance', ''), line.get('request', ''))
         message = line.get('message', '')
         if message in _SENT:
-            trails[who] = line
-        elif message == _LEFT_OUT:
-            table.add_left_out(line)
-        elif message == _ANSWERED or message in _ENDS:
-            table.add(_end_of(line, trails.pop(who, {})))
+            last_sent[who] = line
+        elif message == _LINES_OMITTED:
+            table.add_omitted(line)
+        elif message == _ANSWERED or message in _LOSS_CATEGORIES:
+            table.add(_request_end(line, last_sent.pop(who, {})))
     rows = list(table.rows())
     columns = ('from s', 'cause', 'requests')
     output.table('losses', columns, rows, [list(row) for row in rows])
 
 
-def _end_of(line: dict[str, Any], sent: dict[str, Any]) -> RequestEnd:
-    at = _seconds(line)
+def _request_end(line: dict[str, Any], sent: dict[str, Any]) -> RequestEnd:
+    at = _timestamp(line)
     instance = line.get('instance', '')
     message = line['message']
     if message != _ANSWERED:
         verb = message.removeprefix('request-')
         cause = f'{verb}: {line.get("subject", "")}'
-        return RequestEnd(at, instance, _ENDS[message], cause)
+        return RequestEnd(at, instance, _LOSS_CATEGORIES[message], cause)
     if not line.get('late'):
-        return RequestEnd(at, instance, _SERVED_NAME, '')
-    return RequestEnd(at, instance, _LATE_NAME, _late_cause(line, sent).value)
+        return RequestEnd(at, instance, _SERVED_CATEGORY, '')
+    return RequestEnd(
+        at, instance, _LATE_CATEGORY, _late_cause(line, sent).value
+    )
 
 
 def _late_cause(line: dict[str, Any], sent: dict[str, Any]) -> LateCause:
-    slow = line.get('execution', 0) > _SLOW * line.get('expected', 0)
-    found = {
+    slow = line.get('execution', 0) > _SLOW_FACTOR * line.get('expected', 0)
+    conditions = {
         LateCause.RETURNED: line.get('returned', 0),
         LateCause.REPEATED: line.get('sends', 1) > 1,
         LateCause.COLD: not sent.get('warm', 1),
         LateCause.WAITED: sent.get('wait', 0) > 0,
         LateCause.SLOW: slow,
     }
-    causes = (cause for cause, applies in found.items() if applies)
+    causes = (cause for cause, applies in conditions.items() if applies)
     return next(causes, LateCause.OTHER)
 
 
-def _seconds(line: dict[str, Any]) -> float:
-    moment = line.get('at') or line.get('time', '')
-    return datetime.fromisoformat(str(moment)).timestamp()
+def _timestamp(line: dict[str, Any]) -> float:
+    text = line.get('at') or line.get('time', '')
+    return datetime.fromisoformat(str(text)).timestamp()
--- a/worksrail/cli/_output.py
+++ b/worksrail/cli/_output.py
@@ -1,4 +1,4 @@
-"""What the tool prints: tables for people, JSON for programs."""
+"""Output of the command-line tool: tables for people, JSON for programs."""
 
 import json
 import sys
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Output:
-    """Prints outcomes and ends the tool with the code's exit code."""
+    """Prints outcomes; exits with the exit code of a failure."""
 
     as_json: bool
     """Print JSON instead of tables."""
@@ -29,7 +29,7 @@
         rows: Iterable[Sequence[object]],
         document: object,
     ) -> None:
-        """Print a table, or the document it was made from."""
+        """Print a table, or with ``as_json`` the document that it shows."""
         if self.as_json:
             self.document(document)
             return
@@ -41,18 +41,18 @@
         Console(width=_WIDTH).print(table)
 
     def line(self, text: str, document: object) -> None:
-        """Print a line, or the document it tells of."""
+        """Print a line, or with ``as_json`` the document that it sums up."""
         if self.as_json:
             self.document(document)
         else:
             sys.stdout.write(text + '\n')
 
     def document(self, document: object) -> None:
-        """Print JSON."""
+        """Print a document as JSON."""
         sys.stdout.write(json.dumps(document, indent=2, default=str) + '\n')
 
     def fail(self, failure: Failure) -> NoReturn:
-        """Tell a failure and end the tool."""
+        """Print a failure and exit with the exit code of its result code."""
         code = failure.code
         if self.as_json:
             self.document({'result': code.number, **failure.document})
@@ -68,15 +68,15 @@
                 sys.stderr.write(_fault_line(fault))
         sys.exit(code.value.exit_code)
 
-    def checked(self, outcome: Any | Failure) -> Any:
-        """Give an outcome that is no failure; end the tool otherwise."""
+    def unwrap(self, outcome: Any | Failure) -> Any:
+        """Return the outcome, or print it and exit if it is a failure."""
         if isinstance(outcome, Failure):
             self.fail(outcome)
         return outcome
 
 
-def invalid(detail: str) -> Failure:
-    """Failure for an invalid argument."""
+def invalid_argument(detail: str) -> Failure:
+    """Build the failure for an invalid argument."""
     return Failure(ResultCode.INVALID_ARGUMENT, {'detail': detail})
 
 
--- a/worksrail/cli/_views.py
+++ b/worksrail/cli/_views.py
@@ -1,40 +1,42 @@
-"""Status, time line, explanations and drains as tables."""
+"""Tables of status, time line, explanations and drains."""
 
 import time
 from typing import Any, Final
 
 from worksrail.cli._connection import Failure, OperatorClient
-from worksrail.cli._output import Output, invalid
+from worksrail.cli._output import Output, invalid_argument
 
-_POLL: Final = 0.25
-_FOLLOW: Final = 0.5
-_ALIVE: Final = frozenset(('live', 'self'))
+_POLL_INTERVAL: Final = 0.25
+_FOLLOW_INTERVAL: Final = 0.5
+_LIVE_STATES: Final = frozenset(('live', 'self'))
 _SECOND: Final = 1
-_KINDS: Final = frozenset(('upstream', 'zone', 'entry'))
+_DRAIN_KINDS: Final = frozenset(('upstream', 'zone', 'entry'))
 
 
 def show_status(client: OperatorClient, output: Output) -> None:
     """Print entries, generations, permits, headroom and drains."""
-    told = output.checked(client.get('/v1/status'))
+    response = output.unwrap(client.get('/v1/status'))
     rows = [
         (
-            one['who'],
-            one['zone'],
-            one['status'],
-            one['seen_as'],
-            one['generation'],
-            one['drains'],
-            ','.join(str(seat) for seat in one['seats']),
+            instance['who'],
+            instance['zone'],
+            instance['status'],
+            instance['seen_as'],
+            instance['generation'],
+            instance['drains'],
+            ','.join(str(seat) for seat in instance['seats']),
             ' '.join(
                 f'{spare["service"]}:'
                 f'{spare["usable"] - spare["idle"]}/{spare["usable"]}'
-                for spare in one['spares']
+                for spare in instance['spares']
             ),
         )
-        for one in sorted(told['instances'], key=lambda one: one['name'])
+        for instance in sorted(
+            response['instances'], key=lambda instance: instance['name']
+        )
     ]
     output.table(
-        f'drains: {", ".join(told["drains"]) or "none"}',
+        f'drains: {", ".join(response["drains"]) or "none"}',
         (
             'instance',
             'zone',
@@ -46,14 +48,14 @@
             'permits in use/usable',
         ),
         rows,
-        told,
+        response,
     )
     if not output.as_json:
         output.table(
             'headroom by service and region',
             ('service', 'region', 'in use', 'usable', 'free after headroom'),
-            _headroom(told['instances']),
-            told,
+            _headroom_rows(response['instances']),
+            response,
         )
 
 
@@ -63,11 +65,11 @@
     address: str,
     service: str,
 ) -> None:
-    """Print what a caller would get now, and why."""
-    told = output.checked(
+    """Print the entries a caller would get now, and how upstreams rank."""
+    response = output.unwrap(
         client.get('/v1/explain', client=address, service=service)
     )
-    answer = told['look_up']
+    answer = response['look_up']
     output.table(
         f'{address} has home region {answer["home"]}; '
         f'generation {answer["generation"]}',
@@ -82,21 +84,21 @@
             )
             for entry in answer['entries']
         ],
-        told,
+        response,
     )
     if not output.as_json:
         output.table(
-            f'upstreams as {told["asked"]} sees them',
+            f'upstreams as {response["asked"]} sees them',
             ('upstream', 'zone', 'free', 'in use', 'share', 'score', 'not'),
-            [tuple(one.values()) for one in told['upstreams']],
-            told,
+            [tuple(upstream.values()) for upstream in response['upstreams']],
+            response,
         )
 
 
 def show_timeline(
     client: OperatorClient,
     output: Output,
-    wanted: dict[str, str],
+    filters: dict[str, str],
     *,
     follow: bool,
 ) -> None:
@@ -107,12 +109,12 @@
         for event in events:
             if all(
                 text in str(event.get(name, ''))
-                for name, text in wanted.items()
+                for name, text in filters.items()
             ):
                 output.line(_event_line(event), event)
         if not follow:
             return
-        time.sleep(_FOLLOW)
+        time.sleep(_FOLLOW_INTERVAL)
 
 
 def change_drain(
@@ -125,10 +127,14 @@
     force: bool = False,
     wait: bool = False,
 ) -> None:
-    """Add or remove a drain; ``wait`` follows it to the end."""
+    """Add or remove a drain; ``wait`` waits until no requests remain."""
     kind, _, name = target.partition('/')
-    if kind not in _KINDS or not name:
-        output.fail(invalid(f'expected KIND/NAME, KIND of {sorted(_KINDS)}'))
+    if kind not in _DRAIN_KINDS or not name:
+        output.fail(
+            invalid_argument(
+                f'expected KIND/NAME, KIND of {sorted(_DRAIN_KINDS)}'
+            )
+        )
     outcome = client.post(
         '/v1/drains',
         {
@@ -156,35 +162,35 @@
 def _wait_until_empty(client: OperatorClient, output: Output) -> None:
     started = time.monotonic()
     while True:
-        left = _remaining(client, output)
-        if not left:
+        remaining_work = _remaining_work(client, output)
+        if not remaining_work:
             break
-        for entry, upstream, count in left:
+        for entry, upstream, count in remaining_work:
             output.line(
                 f'{entry}: {count} in flight at {upstream}',
                 {'entry': entry, 'upstream': upstream, 'in_flight': count},
             )
-        time.sleep(_POLL)
+        time.sleep(_POLL_INTERVAL)
     seconds = round(time.monotonic() - started, 2)
     output.line(f'empty after {seconds} s', {'seconds': seconds})
 
 
-def _remaining(
+def _remaining_work(
     client: OperatorClient,
     output: Output,
 ) -> list[tuple[str, str, int]]:
-    told = output.checked(client.get('/v1/status'))
-    left: list[tuple[str, str, int]] = []
-    for one in told['instances']:
-        if one['seen_as'] not in _ALIVE:
+    response = output.unwrap(client.get('/v1/status'))
+    remaining_work: list[tuple[str, str, int]] = []
+    for instance in response['instances']:
+        if instance['seen_as'] not in _LIVE_STATES:
             continue
-        remaining = client.get_from(one['operator'], '/v1/drains')
-        if not isinstance(remaining, Failure):
-            left.extend(
-                (one['name'], work['upstream'], work['in_flight'])
-                for work in remaining['remaining']
+        drains = client.get_from(instance['operator'], '/v1/drains')
+        if not isinstance(drains, Failure):
+            remaining_work.extend(
+                (instance['name'], item['upstream'], item['in_flight'])
+                for item in drains['remaining']
             )
-    return left
+    return remaining_work
 
 
 def _show_figures(output: Output, figures: Any) -> None:
@@ -206,13 +212,13 @@
     )
 
 
-def _headroom(instances: list[dict[str, Any]]) -> list[tuple[object, ...]]:
+def _headroom_rows(instances: list[dict[str, Any]]) -> list[tuple[object, ...]]:
     totals: dict[tuple[str, str], list[int]] = {}
-    for one in instances:
-        if one['seen_as'] not in _ALIVE:
+    for instance in instances:
+        if instance['seen_as'] not in _LIVE_STATES:
             continue
-        for spare in one['spares']:
-            key = (spare['service'], one['region'])
+        for spare in instance['spares']:
+            key = (spare['service'], instance['region'])
             total = totals.setdefault(key, [0, 0, 0])
             total[0] += spare['usable'] - spare['idle']
             total[1] += spare['usable']
@@ -225,12 +231,12 @@
     output: Output,
     seen: dict[str, tuple[float, int]],
 ) -> list[dict[str, Any]]:
-    told = output.checked(client.get('/v1/status'))
+    response = output.unwrap(client.get('/v1/status'))
     events: list[dict[str, Any]] = []
-    for one in told['instances']:
-        if one['seen_as'] not in _ALIVE:
+    for instance in response['instances']:
+        if instance['seen_as'] not in _LIVE_STATES:
             continue
-        address = one['operator']
+        address = instance['operator']
         wall, count = seen.get(address, (0, 0))
         answer = client.get_from(
             address, '/v1/timeline', wall=wall, count=count
--- a/worksrail/cli/main.py
+++ b/worksrail/cli/main.py
@@ -12,7 +12,7 @@
 from worksrail.cli._keys import KeyCommands
 from worksrail.cli._logs import show_logs
 from worksrail.cli._losses import show_losses
-from worksrail.cli._output import Output, invalid
+from worksrail.cli._output import Output, invalid_argument
 from worksrail.cli._views import (
     change_drain,
     show_explanation,
@@ -20,15 +20,15 @@
     show_timeline,
 )
 
-_JSON: Final = '--json'
-_JSON_ON: Final = '--json=True'
+_JSON_FLAG: Final = '--json'
+_JSON_TRUE: Final = '--json=True'
 
 
 class Worksrail:
-    """Drives worksrail: bundles, drains, status, time line, keys.
+    """Operates worksrail: bundles, drains, status, time line, keys.
 
-    ``--entries`` (WORKSRAIL_ENTRIES) names operator addresses of entries,
-    ``--token`` (WORKSRAIL_TOKEN) the operator's token.  ``--json`` prints
+    ``--entries`` (WORKSRAIL_ENTRIES) lists operator addresses of entries,
+    ``--token`` (WORKSRAIL_TOKEN) is the operator's token.  ``--json`` prints
     JSON.
     """
 
@@ -38,13 +38,13 @@
         token: str = '',
         json: bool = False,
     ) -> None:
-        """Take the flags that all commands share."""
-        known = entries or os.environ.get('WORKSRAIL_ENTRIES', '')
-        if isinstance(known, (tuple, list)):
-            known = ','.join(known)
-        addresses = tuple(part for part in known.split(',') if part)
+        """Read the flags that all commands share."""
+        addresses = entries or os.environ.get('WORKSRAIL_ENTRIES', '')
+        if isinstance(addresses, (tuple, list)):
+            addresses = ','.join(addresses)
+        entry_addresses = tuple(part for part in addresses.split(',') if part)
         secret = token or os.environ.get('WORKSRAIL_TOKEN', '')
-        self._client = OperatorClient(addresses, secret)
+        self._client = OperatorClient(entry_addresses, secret)
         self._output = Output(json)
         self.bundle = BundleCommands(self._client, self._output)
         self.keys = KeyCommands(self._output)
@@ -66,13 +66,13 @@
         follow: bool = False,
     ) -> None:
         """Show the events of all entries, merged in causal order."""
-        wanted = {
+        options = {
             'trace': str(request),
             'subject': upstream,
             'generation': str(generation),
             'kind': kind,
         }
-        filters = {name: text for name, text in wanted.items() if text}
+        filters = {name: text for name, text in options.items() if text}
         show_timeline(self._client, self._output, filters, follow=follow)
 
     def logs(
@@ -81,15 +81,17 @@
         request: str = '',
         subject: str = '',
     ) -> None:
-        """Show what log files say of a request, an upstream or an entry."""
-        self._expect_files(files)
+        """Show the log lines about a request, an upstream or an entry."""
+        self._check_files_exist(files)
         show_logs(self._output, files, str(request), str(subject))
 
     def losses(self, *files: str, every: float = 2) -> None:
-        """Show why callers lost, by interval, from log files of entries."""
-        self._expect_files(files)
+        """Show causes of lost requests, by interval, from log files."""
+        self._check_files_exist(files)
         if every <= 0:
-            self._output.fail(invalid(f'expected seconds, got {every}'))
+            self._output.fail(
+                invalid_argument(f'expected seconds, got {every}')
+            )
         show_losses(self._output, files, every)
 
     def drain(
@@ -111,21 +113,26 @@
         )
 
     def undrain(self, target: str) -> None:
-        """Take a drain off the list."""
+        """Remove a drain from the list."""
         change_drain(self._client, self._output, target, add=False)
 
-    def _expect_files(self, files: tuple[str, ...]) -> None:
+    def _check_files_exist(self, files: tuple[str, ...]) -> None:
         missing = [name for name in files if not Path(name).is_file()]
         if missing or not files:
             self._output.fail(
-                invalid(f'expected log files, got {", ".join(missing)}')
+                invalid_argument(
+                    f'expected log files, got {", ".join(missing)}'
+                )
             )
 
 
 def main() -> None:
     """Run the tool."""
-    # Without a value the flag would take the next word as its value.
-    command = [_JSON_ON if word == _JSON else word for word in sys.argv[1:]]
+    # Without a value the flag would consume the next argument as its value.
+    command = [
+        _JSON_TRUE if argument == _JSON_FLAG else argument
+        for argument in sys.argv[1:]
+    ]
     fire.Fire(Worksrail, command, name='worksrail')
 
 
--- a/worksrail/cli/pages.py
+++ b/worksrail/cli/pages.py
@@ -1,6 +1,6 @@
-"""``make docs``: the pages that are written from the code.
+"""``make docs``: the pages that are generated from the code.
 
-A test holds the committed pages against what this module writes.
+A test compares the committed pages with the output of this module.
 """
 
 from collections import defaultdict
@@ -18,7 +18,7 @@
 
 
 def results_page() -> str:
-    """The table of result codes."""
+    """Render the table of result codes."""
     lines = [
         '# Result codes',
         '',
@@ -41,7 +41,7 @@
 
 
 def settings_page() -> str:
-    """The table of the daemon's settings."""
+    """Render the table of the daemon's settings."""
     lines = [
         '# Settings of `worksraild`',
         '',
@@ -59,8 +59,8 @@
 
 
 def scenarios_page() -> str:
-    """The matrix of scenarios: what fails against what must hold."""
-    scenarios = _scenarios()
+    """Render the matrix of scenarios: what fails against what must hold."""
+    scenarios = _load_scenarios()
     cells: dict[tuple[str, str], list[int]] = defaultdict(list)
     for number, scenario in enumerate(scenarios, start=1):
         for failure in scenario.fails:
@@ -104,7 +104,7 @@
         (Path(folder) / name).write_text(page())
 
 
-def _scenarios() -> list[Scenario]:
+def _load_scenarios() -> list[Scenario]:
     return [
         scenario
         for file in sorted(_SCENARIOS.glob('*.scn'))
