--- a/worksrail/__init__.py
+++ b/worksrail/__init__.py
@@ -1,8 +1,8 @@
 """Worksrail: a global traffic steering system.
 
-The coordination parts below can be embedded alone, with a transport of
-one's own: pure state, events in, effects out.  Each is loaded when it is first
-used, so that a process does not hold in memory what it never needs.
+The coordination parts below can be embedded alone, with a custom transport:
+pure state, events in, effects out.  Each is imported on first use, so that
+unused modules take no memory in a process.
 """
 
 from typing import TYPE_CHECKING, Final
--- a/worksrail/_lazy.py
+++ b/worksrail/_lazy.py
@@ -1,4 +1,4 @@
-"""Public names of a package that are loaded when they are first used."""
+"""Lazy import of the public names of a package."""
 
 from collections.abc import Callable, Mapping
 from functools import partial
@@ -7,7 +7,9 @@
 
 
 def loader_of(package: str, homes: Mapping[str, str]) -> Callable[[str], Any]:
-    """Make a package's ``__getattr__`` from the modules that define its names.
+    """Make a package's ``__getattr__`` that imports a name on first use.
+
+    ``homes`` maps each public name to the module that defines it.
 
     >>> loader_of('shapes', {'sqrt': 'math'})('sqrt')(9)
     3.0
