--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -1,4 +1,4 @@
-"""The command-line reader of logs, and the list of tests that may fail."""
+"""Commands that read log files, and the parser of the known-failures list."""
 
 import json
 from pathlib import Path
@@ -17,23 +17,23 @@
 
 
 @pytest.mark.parametrize(
-    ('wanted', 'events'),
+    ('filters', 'events'),
     [
         ({'request': 'a'}, ['request-sent', 'request-failed']),
         ({'subject': 'i'}, ['upstream-gone']),
-        ({'request': 'nobody'}, []),
+        ({'request': 'unknown'}, []),
     ],
 )
-def test_lines_of_a_request_in_order(
+def test_logs_filters_and_sorts_lines(
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
-    wanted: dict[str, str],
+    filters: dict[str, str],
     events: list[str],
 ) -> None:
     path = tmp_path / 'one.log'
     text = '\n'.join(f'1.5 one {json.dumps(line)}' for line in _LINES)
     path.write_text(f'{text}\nno json\n{{cut short')
-    Worksrail(json=True).logs(str(path), **wanted)
+    Worksrail(json=True).logs(str(path), **filters)
     shown = json.loads(capsys.readouterr().out)
     assert [line['message'] for line in shown] == events
 
@@ -44,15 +44,18 @@
 
 
 def _answer(second: int, request: str, **fields: object) -> str:
-    late = {'late': 1, 'sends': 1, 'execution': 0.3, 'expected': 0.3}
-    return _line(second, 'request-answered', request=request, **(late | fields))
+    defaults = {'late': 1, 'sends': 1, 'execution': 0.3, 'expected': 0.3}
+    return _line(
+        second, 'request-answered', request=request, **(defaults | fields)
+    )
 
 
 def _sent(request: str, **fields: object) -> str:
-    known = {'warm': 1, 'wait': 0}
-    return _line(0, 'request-sent', request=request, **(known | fields))
+    defaults = {'warm': 1, 'wait': 0}
+    return _line(0, 'request-sent', request=request, **(defaults | fields))
 
 
+# Lines of the last send and of the end of a request, and the expected cause.
 _LOSSES = {
     'served': (_sent('a'), _answer(1, 'a', late=0), 'served in time'),
     'returned': (
@@ -88,7 +91,7 @@
     assert row[2] == 1
 
 
-def test_losses_are_scaled_by_what_was_left_out(
+def test_losses_are_scaled_by_omitted_lines(
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
@@ -109,16 +112,16 @@
 
 
 @pytest.mark.parametrize('every', [0, -1])
-def test_interval_without_length_is_refused(every: int) -> None:
-    with pytest.raises(SystemExit) as ended:
+def test_losses_rejects_non_positive_interval(every: int) -> None:
+    with pytest.raises(SystemExit) as exit_info:
         Worksrail().losses(__file__, every=every)
-    assert ended.value.code == 2
+    assert exit_info.value.code == 2
 
 
-def test_missing_file_is_told(capsys: pytest.CaptureFixture[str]) -> None:
-    with pytest.raises(SystemExit) as ended:
+def test_logs_reports_missing_file(capsys: pytest.CaptureFixture[str]) -> None:
+    with pytest.raises(SystemExit) as exit_info:
         Worksrail().logs('/nowhere/at-all.log')
-    assert ended.value.code == 2
+    assert exit_info.value.code == 2
     assert '5012' in capsys.readouterr().err
 
 
